--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight at a pool: it settles where the pool's queueing delay is low."""
+"""Adaptive limit on the attempts in flight at a pool; it settles where the pool's queueing delay is low."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from .delay_estimate import PAPER_T1
 from .endpoint import Endpoint, EndpointPool
 from .endpoint_index import EndpointIndex
-from .load_shedding import TARGET_DELAY
+from .load_shedding import TARGET_DELAY_T1
 from .outlier import MAX_FAILURE_SHARE, is_ejected
 from .slow_start import SlowStart
 from .wait_queue import WaitQueue
 
 __all__ = ["ConcurrencyLimit"]
 
-INITIAL_PER_ENDPOINT = 1.0
-"""Attempts in flight at the start for each endpoint, over all gateways."""
+INITIAL_LIMIT_PER_ENDPOINT = 1.0
+"""Initial limit for each endpoint, as attempts in flight from all gateways together."""
 MIN_LIMIT = 0.1
-"""Least limit: a few requests still find out that congestion is over."""
-FAIR_SHARE_FLOOR = 0.5
-"""Least limit by delay alone, for each endpoint of the gateway's fair share."""
+"""Minimum limit: the few requests that still pass detect when congestion is over."""
+MIN_FAIR_SHARE = 0.5
+"""Minimum limit that delay alone can cause, for each endpoint of the gateway's fair share."""
 GROWTH_STEP = 0.05
-"""Growth of the limit in the time that its requests take, while the delay is low."""
-RUSH_STEPS = 4.0
-"""Such steps at once while requests wait and endpoints are idle."""
-MAX_FALL_STEPS = 8.0
-"""The steepest fall, in such steps."""
-USED_SHARE = 0.75
-"""The limit grows only where so much of it is used."""
+"""Growth for one response at a low delay, so the relative growth in the time that its requests take."""
+FAST_GROWTH_STEPS = 4.0
+"""Growth for one response, in steps, while requests wait and endpoints are idle."""
+MAX_DECREASE_STEPS = 8.0
+"""Maximum decrease for one outcome, in steps."""
+MIN_USED_SHARE = 0.75
+"""The limit grows only while at least this share of it is in use."""
 
 
 class ConcurrencyLimit:
-    """Adapts the limits of the pools and checks what capacity they leave."""
+    """Adapts the concurrency limits of the pools and checks them for free capacity."""
 
     def __init__(
         self,
@@ -46,76 +46,83 @@
         self._random = random
 
     def has_capacity(self, pool: EndpointPool, t1: int, now: int) -> bool:
-        """Whether the limit leaves capacity; a fraction of an attempt is met in the mean, by chance."""
-        used, limit = self._usable(pool, t1, now)
+        """Whether the limit leaves capacity; a fractional limit is met on average, by random rounding."""
+        used, limit = self._usage_and_limit(pool, t1, now)
         return used + self._random() < limit
 
     def adapt(self, pool: EndpointPool, endpoint: Endpoint, was_rejected: bool, t1: int, now: int) -> None:
-        """Follow the outcome of an attempt at an endpoint of the pool.
+        """Adapts the pool's limit to the outcome of an attempt at one of its endpoints.
 
-        Endpoints that get too much queue up and slow down. A rejection for overload counts by itself: it
-        comes back so soon that a smoothed delay hardly shows it. Delay alone stops at a floor, as behind a
-        slow shared dependency every response is late at any limit.
+        Endpoints that get too many requests queue them and slow down, so the limit follows the pool's
+        smoothed delay. A rejection for overload lowers the limit by itself, because it returns so fast that
+        the smoothed delay hardly shows it. Delay alone does not lower the limit below a floor: behind a slow
+        shared dependency every response is late at any limit.
         """
         if was_rejected:
-            push = -MAX_FALL_STEPS * _rejecting_share(pool)
+            adjustment = -MAX_DECREASE_STEPS * _rejection_share(pool)
         else:
-            push = max(-MAX_FALL_STEPS, 1.0 - pool.current(PAPER_T1, now) / (TARGET_DELAY * PAPER_T1))
-        used, limit = self._usable(pool, t1, now)
-        if push >= 0 and used + 1 < USED_SHARE * limit:
+            adjustment = max(
+                -MAX_DECREASE_STEPS, 1.0 - pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+            )
+        used, limit = self._usage_and_limit(pool, t1, now)
+        if adjustment >= 0 and used + 1 < MIN_USED_SHARE * limit:
             return
-        if push > 0:
-            rush = RUSH_STEPS if self._should_rush(pool, endpoint, push) else 1.0
-            step = GROWTH_STEP * (rush * min(push, 1.0))
+        if adjustment > 0:
+            growth_steps = FAST_GROWTH_STEPS if self._should_grow_fast(pool, endpoint, adjustment) else 1.0
+            step = GROWTH_STEP * (growth_steps * min(adjustment, 1.0))
         else:
-            step = GROWTH_STEP * (push * min(pool.limit, 1.0))
-        floor = MIN_LIMIT if was_rejected else min(pool.limit, self._fair_floor())
+            step = GROWTH_STEP * (adjustment * min(pool.limit, 1.0))
+        floor = MIN_LIMIT if was_rejected else min(pool.limit, self._fair_share_floor())
         pool.limit = max(floor, pool.limit + step)
 
     def follow_endpoint_list(self, pool: EndpointPool, now: int) -> None:
-        """Resize the limit for the endpoints that the pool has now.
+        """Scales the limit to the endpoints that the pool has now.
 
-        A few that are left with the limit of many would be overloaded before the delay shows it, and many
-        would stand idle behind the limit of a few. The first limit is set with the first endpoints, and is
-        less than one request a gateway in a small fleet, which hundreds of gateways would overload at their
-        start.
+        Without it, a few remaining endpoints with the limit of many would be overloaded before the delay
+        shows it, and many endpoints would stay idle behind the limit of a few. The first endpoints set the
+        initial limit. In a small fleet it is less than one request per gateway, as hundreds of gateways
+        starting together would overload the fleet with one request each.
         """
         if pool.endpoints and not pool.limit:
-            fair = self._endpoints.per_gateway
-            pool.limit = max(MIN_LIMIT, INITIAL_PER_ENDPOINT * max(fair, min(2 * fair, 1.0)))
-        size = sum(self._slow_start.warm_share(endpoint, now) for endpoint in pool.endpoints)
+            fair_share = self._endpoints.per_gateway
+            pool.limit = max(
+                MIN_LIMIT, INITIAL_LIMIT_PER_ENDPOINT * max(fair_share, min(2 * fair_share, 1.0))
+            )
+        size = sum(self._slow_start.current_capacity_share(endpoint, now) for endpoint in pool.endpoints)
         if size and pool.warm_size:
             pool.limit = max(MIN_LIMIT, pool.limit * size / pool.warm_size)
         pool.warm_size = size or pool.warm_size
 
-    def _usable(self, pool: EndpointPool, t1: int, now: int) -> tuple[int, float]:
-        """Attempts in flight at the endpoints that original requests go to, and the limit for these.
+    def _usage_and_limit(self, pool: EndpointPool, t1: int, now: int) -> tuple[int, float]:
+        """Returns the attempts in flight at endpoints that are not ejected, and the limit for these.
 
-        An ejected endpoint takes its part of the limit with it: the last one left would get the capacity of
-        all, be overloaded and be ejected in turn.
+        The limit shrinks by the share of the ejected endpoints. Otherwise the last endpoint left would get
+        the capacity of all, become overloaded and be ejected too.
         """
         slow_start = self._slow_start
-        size = lost = 0.0
+        size = ejected_size = 0.0
         used = pool.in_flight
         for endpoint in pool.endpoints:
-            share = slow_start.warm_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
+            share = (
+                slow_start.current_capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
+            )
             size += share
-            # Few endpoints have failures, and this runs for all of them at each request.
+            # This loop runs for every request. Few endpoints have failures, so the cheap check comes first.
             if endpoint.failure_share > MAX_FAILURE_SHARE and is_ejected(endpoint, t1, now):
-                lost += share
+                ejected_size += share
                 used -= endpoint.in_flight - endpoint.discounted
-        return used, pool.limit * (size - lost) / (size or 1.0)
+        return used, pool.limit * (size - ejected_size) / (size or 1.0)
 
-    def _fair_floor(self) -> float:
-        return max(MIN_LIMIT, FAIR_SHARE_FLOOR * self._endpoints.per_gateway)
+    def _fair_share_floor(self) -> float:
+        return max(MIN_LIMIT, MIN_FAIR_SHARE * self._endpoints.per_gateway)
 
-    def _should_rush(self, pool: EndpointPool, endpoint: Endpoint, push: float) -> bool:
-        """Whether requests wait while endpoints other than the one that responded are idle.
+    def _should_grow_fast(self, pool: EndpointPool, endpoint: Endpoint, adjustment: float) -> bool:
+        """Whether requests wait while endpoints other than the one that just responded are idle.
 
-        So it is after a start, after congestion, or when other gateways leave their clients to this one.
-        With a single endpoint there is no other to be idle, and a low delay has to do.
+        This occurs after a start, after congestion, or when clients move to this gateway from others. A pool
+        with a single endpoint has no other that could be idle, so a low delay is enough there.
         """
-        if not len(self._wait_queue) or push <= 0.5:
+        if not len(self._wait_queue) or adjustment <= 0.5:
             return False
         return len(pool.endpoints) == 1 or any(
             not other.in_flight and other is not endpoint and other.failure_share <= MAX_FAILURE_SHARE
@@ -123,6 +130,9 @@
         )
 
 
-def _rejecting_share(pool: EndpointPool) -> float:
-    """The share of a pool's endpoints that rejected what came last: one says little of the others."""
+def _rejection_share(pool: EndpointPool) -> float:
+    """Returns the share of the pool's endpoints whose last attempt was rejected.
+
+    The rejection by one endpoint says little about the others.
+    """
     return sum(endpoint.last_was_rejection for endpoint in pool.endpoints) / max(1, len(pool.endpoints))
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -1,6 +1,7 @@
-"""The choice of an endpoint: of two random ones the less loaded, the own zone first, with spillover.
+"""Endpoint selection by power of two choices: the local pool first, with spillover to other zones.
 
-The power of two choices keeps gateways that know little of one another from picking the same endpoint.
+Of two random endpoints the less loaded one is selected. Random pairs keep gateways that know little of each
+other's load from all selecting the same endpoint.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 __all__ = ["EndpointSelector"]
 
-ORIGINAL_DRAWS = 6
-"""Pairs drawn before an original request takes an endpoint that it would rather avoid."""
-SPILLOVER_FROM = 0.1
-"""Excess of the local pool's delay over the remote pool's, in T1, at which requests begin to spill over."""
-SPILLOVER_RANGE = 0.2
-"""Further excess, in T1, at which all do."""
+MAX_PAIR_DRAWS = 6
+"""Maximum number of pairs drawn for a first attempt while the best endpoint so far is ejected or not idle."""
+MIN_SPILLOVER_EXCESS_T1 = 0.1
+"""Excess of the local pool's delay over the remote pool's, in T1, at which spillover starts."""
+SPILLOVER_RANGE_T1 = 0.2
+"""Further excess, in T1, over which spillover grows from no requests to all requests."""
 
 
 class EndpointSelector:
-    """Chooses endpoints for original requests; retries use its draws and its spillover."""
+    """Selects endpoints for first attempts; retries share its pair selection and spillover decision."""
 
     def __init__(
         self,
@@ -47,58 +48,58 @@
         self._random = random
 
     def for_original(self, request: Request, now: int) -> Endpoint | None:
-        """An endpoint for a first attempt; None if no pool has capacity for it."""
+        """Selects an endpoint for a first attempt; None if no pool has one with free capacity."""
         local, remote = self._endpoints.local_pool, self._endpoints.remote_pool
-        for pool in (remote, local) if self.spills_over(now) else (local, remote):
+        for pool in (remote, local) if self.should_spill_over(now) else (local, remote):
             if request.is_over_quota:
-                probability = self._load_shedder.over_quota_probability(pool, now)
+                probability = self._load_shedder.over_quota_admit_probability(pool, now)
                 if self._random() >= probability:
                     continue
             if not pool.endpoints or not self._limit.has_capacity(pool, request.t1, now):
                 continue
-            endpoint = self.better_of_two(request, pool.endpoints, now, ORIGINAL_DRAWS)
-            # Ejected endpoints get nothing: overloaded or silent ones would never recover while gateways that
-            # draw from no others go on feeding them.
+            endpoint = self.pick_less_loaded(request, pool.endpoints, now, MAX_PAIR_DRAWS)
+            # Ejected endpoints get no first attempts. If all endpoints that a gateway draws from are ejected,
+            # sending to them anyway would keep overloaded or unresponsive ones from ever recovering.
             if endpoint is not None and not is_ejected(endpoint, request.t1, now):
                 return endpoint
         return None
 
-    def better_of_two(
-        self, request: Request, candidates: Sequence[Endpoint], now: int, draws: int
+    def pick_less_loaded(
+        self, request: Request, candidates: Sequence[Endpoint], now: int, max_draws: int
     ) -> Endpoint | None:
-        """The less loaded of two random endpoints.
+        """Returns the less loaded of two random endpoints.
 
-        Further pairs are drawn, `draws` at most, until the best one so far is idle and not ejected. None if
-        none of those drawn may get the request.
+        At most `max_draws` pairs are drawn, until the best endpoint so far is idle and not ejected. Returns
+        None if no drawn endpoint may receive the request.
         """
         best: Endpoint | None = None
         best_rank = (True, 0.0)
-        for _ in range(draws if candidates else 0):
+        for _ in range(max_draws if candidates else 0):
             for endpoint in self._draw_pair(candidates):
                 if endpoint is request.last_endpoint or not self._rules.may_send(request, endpoint, now):
                     continue
-                if endpoint.slow_start_until > now and not self._slow_start.may_draw(endpoint, now):
+                if endpoint.slow_start_until > now and not self._slow_start.keeps_candidate(endpoint, now):
                     continue
-                rank = (is_ejected(endpoint, request.t1, now), _load(endpoint))
+                rank = (is_ejected(endpoint, request.t1, now), _relative_load(endpoint))
                 if best is None or rank < best_rank:
                     best, best_rank = endpoint, rank
             if best is not None and not best_rank[0] and not best.in_flight:
                 break
         return best
 
-    def spills_over(self, now: int) -> bool:
-        """Whether a request goes to other zones: the own zone's delay exceeds theirs, by a random threshold.
+    def should_spill_over(self, now: int) -> bool:
+        """Whether a request goes to other zones: the local delay exceeds theirs by a random threshold.
 
-        The settings' condition, a delay of T1 at every candidate, is the far end of this: with few responses
-        an endpoint no single estimate gets there before the zone has long been overloaded.
+        The condition in the settings, a delay of T1 at every candidate, would apply too late: with few
+        responses per endpoint, no single estimate reaches T1 until long after the zone is overloaded.
         """
-        local = self._endpoints.local_pool.current(PAPER_T1, now)
-        remote = self._endpoints.remote_pool.current(PAPER_T1, now)
-        threshold = (SPILLOVER_FROM + self._random() * SPILLOVER_RANGE) * PAPER_T1
+        local = self._endpoints.local_pool.current_delay(PAPER_T1, now)
+        remote = self._endpoints.remote_pool.current_delay(PAPER_T1, now)
+        threshold = (MIN_SPILLOVER_EXCESS_T1 + self._random() * SPILLOVER_RANGE_T1) * PAPER_T1
         return threshold < local - max(0.0, remote)
 
     def _draw_pair(self, candidates: Sequence[Endpoint]) -> tuple[Endpoint, Endpoint]:
-        """Two random endpoints, different ones where there are two."""
+        """Draws two random endpoints; they differ if there are at least two."""
         size = len(candidates)
         first = int(self._random() * size)
         if size == 1:
@@ -109,9 +110,10 @@
         return candidates[first], candidates[second]
 
 
-def _load(endpoint: Endpoint) -> float:
-    """This gateway's attempts in flight, by the endpoint's weight and latency.
+def _relative_load(endpoint: Endpoint) -> float:
+    """Returns the endpoint's load: its attempts in flight, scaled by relative latency and divided by weight.
 
-    Of two idle endpoints the faster one is less loaded, and an overfed large one shows it in its latency.
+    The next attempt is included, so that of two idle endpoints the faster one has the lower load. A large
+    endpoint whose weight gives it too many requests gets fewer as its latency rises.
     """
     return (endpoint.in_flight + 1) * endpoint.relative_latency / endpoint.weight
--- a/balancer/load_report.py
+++ b/balancer/load_report.py
@@ -8,10 +8,10 @@
 from .endpoint import Endpoint
 from .throughput import Throughput
 
-__all__ = ["LATENCY_RATIO_WEIGHT", "LoadReports"]
+__all__ = ["ENDPOINT_SMOOTHING_WEIGHT", "LoadReports"]
 
-LATENCY_RATIO_WEIGHT = 0.1
-"""Weight of one response in what is learnt of a single endpoint's latency and load."""
+ENDPOINT_SMOOTHING_WEIGHT = 0.1
+"""Weight of one response in the smoothed latency and load of a single endpoint."""
 NS_PER_MS = 1e6
 
 IN_FLIGHT = "inflight"
@@ -20,7 +20,7 @@
 
 
 class LoadReports:
-    """Reads load reports with the columns that the settings name."""
+    """Interprets load reports with the columns named in the settings."""
 
     def __init__(self, columns: Sequence[str], throughput: Throughput) -> None:
         self._throughput = throughput
@@ -31,12 +31,15 @@
         self._service_ms = positions.get(SERVICE_MS)
 
     @property
-    def tells_speed(self) -> bool:
-        """Whether reports contain how fast the endpoint is, and not only what it has in flight."""
+    def reports_speed(self) -> bool:
+        """Whether reports include the speed of the endpoint, and not only its requests in flight."""
         return self._queue is not None or self._service_ms is not None
 
     def queueing_delay(self, endpoint: Endpoint, elapsed_ns: int, report: Sequence[float]) -> float | None:
-        """The delay in ns that a report with a response of `elapsed_ns` shows; None if it shows none."""
+        """Returns the delay in ns that the report of a response indicates, or None if it indicates none.
+
+        `elapsed_ns` is the latency of that response.
+        """
         if not report or len(report) < self._column_count or inf in report:
             return None
         delay = self._delay(endpoint, elapsed_ns, report)
@@ -51,15 +54,16 @@
         in_flight = endpoint.reported_in_flight = report[self._in_flight]
         endpoint.mean_reported_in_flight = _smoothed(endpoint.mean_reported_in_flight, in_flight)
         if self._queue is not None:
-            # Little's law gives the rate: what it has in flight, over the time that it takes.
+            # Little's law: the service rate is the mean number in flight divided by the mean latency.
             return report[self._queue] * endpoint.mean_latency / max(1.0, endpoint.mean_reported_in_flight)
         if self._service_ms is not None:
             return in_flight * report[self._service_ms] * NS_PER_MS
-        # What it has in flight for all gateways, each request at the usual time: many gateways that see a few
-        # responses each would fill an endpoint together before any has seen it slow down.
-        usual_latency = self._throughput.usual_latency
-        return max(0.0, in_flight - 1.0) * usual_latency if usual_latency else None
+        # The requests in flight from all gateways, each at the baseline latency. Otherwise many gateways,
+        # each of which sees few responses, would together fill an endpoint before any of them sees it slow
+        # down.
+        baseline_latency = self._throughput.baseline_latency
+        return max(0.0, in_flight - 1.0) * baseline_latency if baseline_latency else None
 
 
 def _smoothed(mean: float, value: float) -> float:
-    return mean + LATENCY_RATIO_WEIGHT * (value - mean) if mean else value
+    return mean + ENDPOINT_SMOOTHING_WEIGHT * (value - mean) if mean else value
--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what can't be in time, or is beyond a quota, gives way while others miss their objective."""
+"""Load shedding: drops requests that can't be in time or exceed a quota while others miss their objective."""
 
 from __future__ import annotations
 
@@ -9,52 +9,56 @@
 from .request import Request
 from .traffic_class import LATENCY_WEIGHT
 
-__all__ = ["TARGET_DELAY", "LoadShedder"]
+__all__ = ["TARGET_DELAY_T1", "LoadShedder"]
 
-TARGET_DELAY = 0.14
-"""Delay of a pool, in T1, at which its limit settles: under the lower threshold of the retry gate."""
-SHEDDING_FROM = 0.05
-"""Share of the requests within quotas that miss their objective at which shedding begins,"""
-SHEDDING_ALL = 0.25
-"""and at which everything that may be shed is."""
-TRIAL_INTERVAL = 8
-"""Latency objectives without a request of a class after which one is sent whatever its time left."""
+TARGET_DELAY_T1 = 0.14
+"""Delay of a pool, in T1, at which its limit settles: below the lower threshold of the retry gate."""
+SHEDDING_START_SHARE = 0.05
+"""Share of requests within quota that miss their objective at which load shedding starts."""
+FULL_SHEDDING_SHARE = 0.25
+"""Share of requests within quota that miss their objective at which all eligible requests are shed."""
+TRIAL_INTERVAL_OBJECTIVES = 8
+"""Maximum time without a sent request of a class, in latency objectives, before one is sent as a trial."""
 
 
 class LoadShedder:
-    """Decides which requests give way, from the share of requests that miss their objective."""
+    """Decides which requests to shed, by the share of requests that miss their objective."""
 
     def __init__(self, random: Callable[[], float]) -> None:
         self._random = random
         self.missed_share = 0.0
-        """Smoothed share of the requests within quotas that miss their objective."""
+        """Smoothed share of the requests within quota that miss their objective."""
 
     def record(self, request: Request, missed: bool) -> None:
-        """A request is over."""
+        """Records whether a finished request missed its objective; requests over quota do not count."""
         if not request.is_over_quota:
             self.missed_share += LATENCY_WEIGHT * (missed - self.missed_share)
 
-    def pressure(self) -> float:
-        """How much of what has least weight gives way: 0 while requests are in time, 1 where many miss."""
-        share = (self.missed_share - SHEDDING_FROM) / (SHEDDING_ALL - SHEDDING_FROM)
+    def shed_probability(self) -> float:
+        """Returns the probability of shedding an eligible request; it is 0 while few objectives are missed."""
+        share = (self.missed_share - SHEDDING_START_SHARE) / (FULL_SHEDDING_SHARE - SHEDDING_START_SHARE)
         return min(max(share, 0.0), 1.0)
 
     def is_hopeless(self, request: Request, now: int) -> bool:
-        """Whether the time left is less than even a quick response to this request takes of late.
+        """Decides whether to shed a request whose remaining time is shorter than even a fast response takes.
 
-        Its work would be done for nothing and keep others waiting. A deviation under the mean leaves classes
-        with long tails alone. Latencies are learnt from what is sent, so that one request in
-        `TRIAL_INTERVAL` objectives goes out all the same and finds out that congestion is over.
+        Its work would be wasted and would delay other requests. A fast response is one deviation below the
+        mean, so that classes with long-tailed latency are not affected. Latencies are learned only from
+        requests that are sent. A class without a sent request for `TRIAL_INTERVAL_OBJECTIVES` objectives is
+        therefore not shed, which detects the end of congestion.
         """
         traffic_class = request.traffic_class
-        if now - traffic_class.last_sent_at > TRIAL_INTERVAL * traffic_class.latency_objective_ns:
+        if now - traffic_class.last_sent_at > TRIAL_INTERVAL_OBJECTIVES * traffic_class.latency_objective_ns:
             return False
-        if self._random() >= self.pressure():
+        if self._random() >= self.shed_probability():
             return False
         objective_at = request.arrived_at + request.objective_ns
         return min(request.deadline, objective_at) - now < request.expected_latency(-1.0)
 
-    def over_quota_probability(self, pool: EndpointPool, now: int) -> float:
-        """The chance of a request over its quota: it falls as the pool, or what is within quotas, suffers."""
-        congestion = pool.current(PAPER_T1, now) / (TARGET_DELAY * PAPER_T1)
-        return min(1.0 - self.pressure(), 1.0 - congestion)
+    def over_quota_admit_probability(self, pool: EndpointPool, now: int) -> float:
+        """Returns the probability of admitting a request over its quota.
+
+        It falls with the delay of the pool, and as requests within quota miss their objective.
+        """
+        congestion = pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+        return min(1.0 - self.shed_probability(), 1.0 - congestion)
--- a/balancer/outlier.py
+++ b/balancer/outlier.py
@@ -1,41 +1,43 @@
-"""Outlier ejection: original requests avoid endpoints that fail, until the evidence has decayed."""
+"""Outlier ejection: failing endpoints get no first attempts until their recorded failures have decayed."""
 
 from __future__ import annotations
 
 from .endpoint import Endpoint
 from .outcomes import Outcome
 
-__all__ = ["BROKEN_OUTCOMES", "BROKEN_STREAK", "MAX_FAILURE_SHARE", "is_ejected", "is_evidence"]
+__all__ = ["BROKEN_OUTCOMES", "MAX_FAILURE_SHARE", "MIN_BROKEN_STREAK", "counts_as_failure", "is_ejected"]
 
-EJECTION_DELAY = 0.6
-"""Delay in T1 at which half of the retries pass: with failures it ejects an endpoint."""
+EJECTION_DELAY_T1 = 0.6
+"""Delay, in T1, above which an endpoint with failures is ejected; half of the retries pass the gate there."""
 MAX_FAILURE_SHARE = 0.15
-"""Share of failures past which an endpoint is ejected: a single one, when it is fresh."""
-BROKEN_STREAK = 3
-"""Broken connections and invalid responses in a row that speak against an endpoint; all have some."""
+"""Share of failures above which an endpoint may be ejected; a single recent failure exceeds it."""
+MIN_BROKEN_STREAK = 3
+"""Consecutive broken connections or invalid responses that count as a failure; every endpoint has a few."""
 BROKEN_OUTCOMES = (Outcome.RESET, Outcome.INVALID_RESPONSE)
-_NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.BAD_REQUEST)
+_NOT_CAUSED_BY_ENDPOINT = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.BAD_REQUEST)
 
 
 def is_ejected(endpoint: Endpoint, t1: int, now: int) -> bool:
-    """Whether original requests with this T1 avoid an endpoint, as its gate lets few retries pass.
+    """Whether first attempts with this T1 avoid the endpoint: it has failures, and few retries pass its gate.
 
-    Delay alone does not eject: long work would mark healthy endpoints, and the rest would be overloaded. One
-    that failed last gets one request at a time until it serves one, as any others could be lost too.
+    Delay alone does not eject an endpoint: long requests would eject healthy endpoints, and the remaining
+    ones would be overloaded. After a failure, an endpoint gets one attempt at a time until one succeeds, as
+    further attempts could fail too.
     """
     if endpoint.failure_share <= MAX_FAILURE_SHARE:
         return False
-    if endpoint.current(t1, now) > EJECTION_DELAY * t1:
+    if endpoint.current_delay(t1, now) > EJECTION_DELAY_T1 * t1:
         return True
     return endpoint.failure_streak > 0 and endpoint.in_flight > endpoint.discounted
 
 
-def is_evidence(outcome: Outcome, endpoint: Endpoint) -> bool:
-    """Whether a failure speaks against its endpoint.
+def counts_as_failure(outcome: Outcome, endpoint: Endpoint) -> bool:
+    """Whether an outcome counts as a failure of its endpoint.
 
-    A few broken connections say nothing of its delay, and the fewer requests there are the more each failure
-    weighs. A bad request speaks against the request: every endpoint that got it would be ejected in turn.
+    A few broken connections say nothing about the endpoint's delay, and each failure weighs more the fewer
+    requests there are. A bad request is the fault of the request: otherwise every endpoint that received it
+    would be ejected in turn.
     """
     if outcome in BROKEN_OUTCOMES:
-        return endpoint.broken_streak >= BROKEN_STREAK
-    return outcome not in _NO_EVIDENCE
+        return endpoint.broken_streak >= MIN_BROKEN_STREAK
+    return outcome not in _NOT_CAUSED_BY_ENDPOINT
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -1,8 +1,8 @@
-"""Queue-gated retries: when an attempt is sent again, to which endpoint, and for how long it is waited for.
+"""Retry policy: when a request is retried, at which endpoint, and how long each attempt may take.
 
-After Hong, Huang and Yan, "Impact of Retransmission Mechanism on SIP Overload": the gap between two attempts
-doubles from T1, and a retry passes with a probability that falls from 1 at a smoothed delay of 0.2 T1 of the
-receiving endpoint to 0 at T1 (their equations 18 to 21).
+The policy follows Hong, Huang and Yan, "Impact of Retransmission Mechanism on SIP Overload". The gap between
+two attempts starts at T1 and doubles each time. A retry passes with a probability that falls from 1, where
+the smoothed delay of the target endpoint is 0.2 T1, to 0 at T1 (their equations 18 to 21).
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 __all__ = ["RetryPolicy", "pass_probability"]
 
 MAX_GAP_DOUBLINGS = 6
-"""Doublings of the gap at most, as in the paper."""
-T1_OBJECTIVE_SHARE = 0.75
-"""T1 is at least this share of the latency objective: a retry can still be in time,"""
-T1_DEVIATIONS = 3.0
-"""and at least so many deviations above the mean latency;"""
-T1_MAX_TIME_SHARE = 0.9
-"""it is at most this share of the time that the request has."""
-MAX_SCANNED = 8
-"""Further endpoints that a gated retry looks at: the cost of a retry stays bounded."""
+"""Maximum number of times the gap doubles, as in the paper."""
+MIN_T1_OBJECTIVE_SHARE = 0.75
+"""Minimum T1 as a share of the latency objective; below 1, so that a retry can still meet the objective."""
+T1_LATENCY_DEVIATIONS = 3.0
+"""T1 is at least this many deviations above the mean latency, limited by `MAX_T1_TIME_SHARE`."""
+MAX_T1_TIME_SHARE = 0.9
+"""Maximum T1 as a share of the time from the request's arrival to its deadline."""
+MAX_SCANNED_ENDPOINTS = 8
+"""Maximum number of further endpoints that a blocked retry checks, which bounds the cost of a retry."""
 
 
 class RetryPolicy:
-    """Decides on the retries of requests."""
+    """Decides when and where requests are retried."""
 
     def __init__(
         self,
@@ -53,38 +53,41 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Applies new settings."""
         self._max_attempts = settings.limits.max_attempts
         self._tick_ns = settings.tick_ns
 
     def t1(self, request: Request) -> int:
-        """The T1 of a request, ns: well above its usual latency, and under the time that it has."""
-        longest = T1_MAX_TIME_SHARE * (request.deadline - request.arrived_at)
-        # The objective is the floor: a few short responses would teach a T1 that is too short.
-        usual = max(request.expected_latency(T1_DEVIATIONS), T1_OBJECTIVE_SHARE * request.objective_ns)
-        return max(self._tick_ns, int(min(usual, longest)))
+        """Returns T1 for a request, in ns: well above its expected latency, less than the time it has."""
+        longest_ns = MAX_T1_TIME_SHARE * (request.deadline - request.arrived_at)
+        # The objective sets a minimum: a T1 learned from a few short responses alone would be too short.
+        expected_ns = max(
+            request.expected_latency(T1_LATENCY_DEVIATIONS), MIN_T1_OBJECTIVE_SHARE * request.objective_ns
+        )
+        return max(self._tick_ns, int(min(expected_ns, longest_ns)))
 
     def current_gap(self, request: Request) -> int:
-        """The gap that the request waits next, ns."""
+        """Returns the length of the request's next gap in ns, without starting it."""
         return request.t1 << min(request.gap_count, MAX_GAP_DOUBLINGS)
 
     def next_gap(self, request: Request) -> int:
-        """Begin the next gap; its length in ns."""
+        """Starts the next gap and returns its length in ns."""
         gap = self.current_gap(request)
         request.gap_count += 1
         return gap
 
     def attempt_timeout(self, request: Request, now: int) -> int:
-        """How long an attempt sent now is waited for, ns: a gap where a retry could follow it, else 0."""
-        left = request.deadline - now
+        """Returns the timeout in ns of an attempt sent now: a gap if a retry could follow it, else 0."""
+        time_left = request.deadline - now
         gap = self.current_gap(request)
         traffic_class = request.traffic_class
         if traffic_class.idempotency is Idempotency.NON_IDEMPOTENT or traffic_class.is_streaming:
             return 0
-        if 2 * gap > left or request.attempt_count >= self._max_attempts:
+        if 2 * gap > time_left or request.attempt_count >= self._max_attempts:
             return 0
-        # A retry that can't be in time by the mean latency is the same work twice: healthy endpoints may be
-        # slow, with long work above all. One that is silent is noticed all the same, as an overdue attempt.
+        # A retry that would miss the objective by the mean latency only duplicates work, as healthy endpoints
+        # may be slow, mainly with long requests. An endpoint that does not respond is detected anyway, by its
+        # overdue attempt.
         if gap + request.expected_latency(0.0) > request.arrived_at + request.objective_ns - now:
             return 0
         if traffic_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
@@ -94,49 +97,53 @@
         return gap
 
     def select_endpoint(self, request: Request, now: int) -> Endpoint | None:
-        """An endpoint whose gate a retry passes: of a pair, of others of the pool, or of other zones."""
+        """Selects an endpoint that the retry may be sent to; None if all those tried are blocked.
+
+        A random candidate pair is tried first, then other candidates, then remote endpoints if requests spill
+        over.
+        """
         candidates = self._candidates(request)
-        first = self._selector.better_of_two(request, candidates, now, 1)
-        if first is not None and not self._is_gated(request, first, now):
-            return first
-        other = self._scan(request, candidates, first, now)
-        if other is not None:
-            return other
-        if self._endpoints.ready_remote and self._selector.spills_over(now):
-            remote = self._endpoints.remote_pool.endpoints
-            far = self._selector.better_of_two(request, remote, now, 1)
-            if far is not None and not self._is_gated(request, far, now):
-                return far
+        best = self._selector.pick_less_loaded(request, candidates, now, 1)
+        if best is not None and not self._is_blocked(request, best, now):
+            return best
+        scanned = self._scan(request, candidates, best, now)
+        if scanned is not None:
+            return scanned
+        if self._endpoints.ready_remote and self._selector.should_spill_over(now):
+            remote_candidates = self._endpoints.remote_pool.endpoints
+            remote = self._selector.pick_less_loaded(request, remote_candidates, now, 1)
+            if remote is not None and not self._is_blocked(request, remote, now):
+                return remote
         return None
 
     def _candidates(self, request: Request) -> Sequence[Endpoint]:
-        """Where a retry may go: the local pool, or the endpoints that recognize a repeated request."""
-        first, traffic_class = request.first_endpoint, request.traffic_class
+        """Returns the candidates of a retry: the local pool, or endpoints in the deduplication scope."""
+        first_endpoint, traffic_class = request.first_endpoint, request.traffic_class
         if (
-            first is None
+            first_endpoint is None
             or traffic_class.idempotency is not Idempotency.IDEMPOTENCY_KEY
             or traffic_class.deduplication_scope is DeduplicationScope.ALL
         ):
             return self._endpoints.local_pool.endpoints
         if traffic_class.deduplication_scope is DeduplicationScope.CELL:
-            return self._endpoints.ready_by_cell.get(first.cell, [])
-        return self._endpoints.ready_by_zone[first.zone]
+            return self._endpoints.ready_by_cell.get(first_endpoint.cell, [])
+        return self._endpoints.ready_by_zone[first_endpoint.zone]
 
     def _scan(
-        self, request: Request, candidates: Sequence[Endpoint], first: Endpoint | None, now: int
+        self, request: Request, candidates: Sequence[Endpoint], tried: Endpoint | None, now: int
     ) -> Endpoint | None:
-        """The first of some candidates in a row, from a random one on, whose gate the retry passes."""
+        """Returns an endpoint that the retry may be sent to, scanning candidates from a random position."""
         size = len(candidates)
         start = int(self._random() * size)
-        for step in range(min(size, MAX_SCANNED)):
+        for step in range(min(size, MAX_SCANNED_ENDPOINTS)):
             endpoint = candidates[(start + step) % size]
-            if endpoint is first or endpoint is request.last_endpoint or endpoint.slow_start_until > now:
+            if endpoint is tried or endpoint is request.last_endpoint or endpoint.slow_start_until > now:
                 continue
-            if self._rules.may_send(request, endpoint, now) and not self._is_gated(request, endpoint, now):
+            if self._rules.may_send(request, endpoint, now) and not self._is_blocked(request, endpoint, now):
                 return endpoint
         return None
 
-    def _is_gated(self, request: Request, endpoint: Endpoint, now: int) -> bool:
+    def _is_blocked(self, request: Request, endpoint: Endpoint, now: int) -> bool:
         pool = self._endpoints.pool_of(endpoint)
         if not self._limit.has_capacity(pool, request.t1, now):
             return True
@@ -144,5 +151,5 @@
 
 
 def pass_probability(estimate: DelayEstimate, t1: int, now: int) -> float:
-    """The paper's retransmission probability."""
-    return min(max((t1 - estimate.current(t1, now)) / (t1 - Q_MIN * t1), 0.0), 1.0)
+    """Returns the probability with which a retry passes the gate (the paper's retransmission probability)."""
+    return min(max((t1 - estimate.current_delay(t1, now)) / (t1 - Q_MIN * t1), 0.0), 1.0)
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: an endpoint that has just started gets no more than it can take from all gateways together."""
+"""Slow start: limits the load on an endpoint that has just started to what it can take from all gateways."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 
 __all__ = ["SlowStart"]
 
-BUDGET_SHARE = 0.5
-"""Share of the overload budget that is used: gateways and zones are uneven."""
-IDLE_BOOST = 2.0
-"""Multiple of that share for an endpoint that reports to be idle; one that reports `UNREPORTED_IN_FLIGHT`
-requests gets the share itself, one with more in flight less,"""
-MIN_BOOST = 0.25
-"""but always so much: it would send no more load reports otherwise."""
+USED_BUDGET_SHARE = 0.5
+"""Share of the overload budget that is used; the rest allows for load that differs by gateway and zone."""
+IDLE_RATE_FACTOR = 2.0
+"""Factor on the used budget for an endpoint that reports that it is idle.
+
+An endpoint that reports `UNREPORTED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
+lower one.
+"""
+MIN_RATE_FACTOR = 0.25
+"""Minimum factor on the used budget: without any requests the endpoint would send no more load reports."""
 
 
 class SlowStart:
-    """Paces the attempts at endpoints in slow start.
+    """Limits the rate of attempts at endpoints in slow start.
 
-    The settings contain the share of its capacity with which an endpoint starts, the window in which the
-    share grows to 1, and the multiple of that capacity at which the endpoint is overloaded.
+    The settings give the share of its capacity with which an endpoint starts, the window in which this share
+    grows to 1, and the multiple of that capacity at which the endpoint is overloaded.
     """
 
     def __init__(
@@ -44,7 +47,7 @@
         self._overload_factor = settings.rules.overload_factor
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force, for endpoints that have started already too."""
+        """Applies new settings, also to endpoints that are already in slow start."""
         self._replicas = settings.replicas
         self._window_ns = settings.rules.slow_start_window_ns
         self._initial_share = settings.rules.slow_start_initial_share
@@ -54,10 +57,10 @@
                 endpoint.slow_start_until = endpoint.started_at + self._window_ns
 
     def begin(self, endpoint: Endpoint, started_at: int, now: int) -> None:
-        """An endpoint has started.
+        """Starts slow start for an endpoint.
 
-        Its first credit is drawn at random, so that the gateways that draw from it do not send at once, and a
-        credit of less than one attempt a second holds in the mean.
+        The initial credit is random, so that the gateways that draw from the endpoint do not all send at
+        once, and so that a rate below one attempt per second is kept on average.
         """
         endpoint.clear()
         endpoint.started_at = started_at
@@ -66,34 +69,38 @@
         endpoint.slow_start_credit = self._random()
 
     def capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """The share of its capacity that an endpoint that has started is sure to have."""
-        age = max(0, now - endpoint.started_at) / self._window_ns
-        return min(1.0, self._initial_share + (1.0 - self._initial_share) * age)
+        """Returns the minimum share of its capacity that an endpoint in slow start has."""
+        elapsed_share = max(0, now - endpoint.started_at) / self._window_ns
+        return min(1.0, self._initial_share + (1.0 - self._initial_share) * elapsed_share)
 
-    def warm_share(self, endpoint: Endpoint, now: int) -> float:
-        """The share of its capacity that any endpoint is sure to have: 1 outside slow start."""
+    def current_capacity_share(self, endpoint: Endpoint, now: int) -> float:
+        """Returns the minimum share of its capacity that any endpoint has: 1 outside slow start."""
         return self.capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
 
-    def may_draw(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether this draw counts: an endpoint in slow start is drawn as often as its capacity allows.
+    def keeps_candidate(self, endpoint: Endpoint, now: int) -> bool:
+        """Whether an endpoint in slow start stays a candidate, at random by its capacity share.
 
-        Thinning out needs no rate and no number of gateways: each sends its own share of what it would send.
+        This needs neither a rate nor the number of gateways: each gateway reduces its own traffic by the same
+        share.
         """
         return self._random() < self.capacity_share(endpoint, now)
 
     def has_credit(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether the endpoint may get an attempt: its credit grows at this gateway's part of the budget."""
-        # All gateways that draw from it, those of other zones too: they spill over to a zone that comes back.
-        ready = max(1, len(self._endpoints.ready_by_zone[endpoint.zone]))
+        """Whether the endpoint may get an attempt: credit grows at this gateway's share of the budget."""
+        # All gateways that draw from the endpoint count, including those of other zones: their requests spill
+        # over to a zone that recovers.
+        ready_count = max(1, len(self._endpoints.ready_by_zone[endpoint.zone]))
         pool_size = len(self._endpoints.pool_of(endpoint).endpoints)
-        gateways = max(1.0, self._replicas * pool_size / ready)
-        rate = self._throughput.rate_of_endpoint(self._endpoints.per_gateway)
-        # Its load report shows how it takes the load of all gateways; this one alone sees little of that.
+        gateway_count = max(1.0, self._replicas * pool_size / ready_count)
+        rate = self._throughput.rate_per_endpoint(self._endpoints.per_gateway)
+        # The load report covers the load from all gateways, of which this one sees only a small part.
         idle_share = 1.0 - endpoint.reported_in_flight / UNREPORTED_IN_FLIGHT
-        boost = max(MIN_BOOST, 1.0 + (IDLE_BOOST - 1.0) * idle_share)
+        rate_factor = max(MIN_RATE_FACTOR, 1.0 + (IDLE_RATE_FACTOR - 1.0) * idle_share)
         capacity_share = self.capacity_share(endpoint, now)
-        pace = BUDGET_SHARE * boost * self._overload_factor * capacity_share * rate / gateways
-        grown = pace * (now - endpoint.credit_updated_at) / SECOND
-        endpoint.slow_start_credit = min(endpoint.slow_start_credit + grown, 1.0)
+        credit_per_s = (
+            USED_BUDGET_SHARE * rate_factor * self._overload_factor * capacity_share * rate / gateway_count
+        )
+        earned = credit_per_s * (now - endpoint.credit_updated_at) / SECOND
+        endpoint.slow_start_credit = min(endpoint.slow_start_credit + earned, 1.0)
         endpoint.credit_updated_at = now
         return endpoint.slow_start_credit >= 1.0
--- a/balancer/throughput.py
+++ b/balancer/throughput.py
@@ -1,4 +1,4 @@
-"""What all endpoints together serve for this gateway: responses a second and the usual time of one."""
+"""Smoothed response rate and baseline latency of all endpoints together, as seen by this gateway."""
 
 from __future__ import annotations
 
@@ -11,52 +11,61 @@
 
 __all__ = ["Throughput"]
 
-RATE_TIME_S = 2.0
-"""Time constant of the rate of responses, seconds."""
+RATE_TIME_CONSTANT_S = 2.0
+"""Time constant of the response rate, in seconds."""
 
 
 class Throughput:
-    """Smoothed rate and latency of the responses of all classes."""
+    """Smoothed response rate and baseline latency over all request classes."""
 
     def __init__(self, classes: Sequence[RequestClass]) -> None:
-        self.usual_latency = 0.0
-        """Usual time of a response, ns; 0 before the first one."""
+        self.baseline_latency = 0.0
+        """Smoothed baseline latency of the requests served, in ns; 0 before the first response."""
         self._rate_per_s = 0.0
         self._updated_at = 0
         self._longest_latency = _longest_latency(classes)
 
     def apply_settings(self, classes: Sequence[RequestClass]) -> None:
-        """Other classes are in force."""
+        """Applies new request classes."""
         self._longest_latency = _longest_latency(classes)
 
     def count_response(self, now: int) -> None:
-        """A response has come."""
+        """Counts a response in the response rate."""
         elapsed_s = (now - self._updated_at) / SECOND
         self._updated_at = now
-        self._rate_per_s = self._rate_per_s * exp(-elapsed_s / RATE_TIME_S) + 1.0 / RATE_TIME_S
+        self._rate_per_s = (
+            self._rate_per_s * exp(-elapsed_s / RATE_TIME_CONSTANT_S) + 1.0 / RATE_TIME_CONSTANT_S
+        )
 
-    def record_usual_latency(self, latency: float) -> None:
-        """A response has come of a request that usually takes `latency` ns."""
-        if self.usual_latency:
-            self.usual_latency += LATENCY_WEIGHT * (latency - self.usual_latency)
+    def record_baseline_latency(self, latency: float) -> None:
+        """Records a response to a request whose baseline latency is `latency` ns."""
+        if self.baseline_latency:
+            self.baseline_latency += LATENCY_WEIGHT * (latency - self.baseline_latency)
         else:
-            self.usual_latency = latency
+            self.baseline_latency = latency
 
-    def rate_of_endpoint(self, endpoints_per_gateway: float) -> float:
-        """Requests a second that a warm endpoint serves at least.
+    def rate_per_endpoint(self, endpoints_per_gateway: float) -> float:
+        """Returns the minimum rate that an endpoint outside slow start serves, in requests per second.
 
-        It does at least one at a time, and about what the fleet does for each endpoint. The usual latency
-        contains no queues, or an endpoint in slow start would get the less the fuller the warm ones are.
-        Before any response the longest latency stands for it: a gateway that starts while all endpoints are
-        in slow start would send nothing until they were warm.
+        An endpoint serves at least one request at a time, and about the fleet's rate per endpoint. The
+        baseline latency excludes queueing; otherwise longer queues at other endpoints would reduce the rate
+        of one in slow start. Before the first response the longest latency of the classes is used. Without
+        it, a gateway that starts while all endpoints are in slow start would send nothing until slow start
+        ends.
         """
-        one_at_a_time = SECOND / (self.usual_latency or self._longest_latency)
-        return max(self._rate_per_s / endpoints_per_gateway, one_at_a_time)
+        serial_rate = SECOND / (self.baseline_latency or self._longest_latency)
+        return max(self._rate_per_s / endpoints_per_gateway, serial_rate)
 
 
 def _longest_latency(classes: Sequence[RequestClass]) -> int:
-    """A latency that a warm endpoint stays within: the objective, unless it grows or the class streams."""
+    """Returns the longest time that a request takes outside slow start, by the settings of the classes.
+
+    It is the latency objective, or the deadline where the objective grows with the cost hint or the class
+    streams.
+    """
     return max(
-        item.deadline_ns if item.objective_cost_factor or item.streaming else item.latency_objective_ns
-        for item in classes
+        request_class.deadline_ns
+        if request_class.objective_cost_factor or request_class.streaming
+        else request_class.latency_objective_ns
+        for request_class in classes
     )
--- a/balancer/traffic_class.py
+++ b/balancer/traffic_class.py
@@ -1,4 +1,4 @@
-"""A class of requests as this gateway sees it: its settings and the latency learnt from its responses."""
+"""Settings of a request class and the latency statistics that this gateway collects for it."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 LATENCY_WEIGHT = 0.05
 """Weight of one response in the mean latency and its deviation."""
-USUAL_WEIGHT = 0.005
-"""Weight of one response in the usual latency, once 1 / weight responses have been seen."""
-CONGESTED_SHARE = 0.1
-"""Share of that weight for slower responses under congestion or slow start, which must not become usual."""
+BASELINE_WEIGHT = 0.005
+"""Weight of one response in the baseline latency, once 1 / weight responses have been seen."""
+CONGESTED_WEIGHT_SHARE = 0.1
+"""Factor on the baseline weight for responses slowed by congestion or slow start.
+
+These must not become the baseline.
+"""
 
 
 class TrafficClass:
-    """Settings and statistics of one class.
+    """Settings and latency statistics of one request class.
 
-    Latencies are in ns for each unit of a request's cost hint, or for a request without a hint.
+    Latencies are in ns per unit of a request's cost hint, or per request without a hint.
     """
 
     __slots__ = (
+        "baseline_units",
         "deduplication_scope",
         "deduplication_window_ns",
         "deviation",
@@ -34,7 +38,6 @@
         "objective_cost_factor",
         "priority_weight",
         "usual",
-        "usual_units",
     )
 
     def __init__(self, settings: RequestClass) -> None:
@@ -50,28 +53,29 @@
         self.deviation = 0.0
         """Mean absolute deviation from the mean."""
         self.usual = 0.0
-        """Latency without congestion: a mean over a longer time, to which slow responses add little."""
+        """Baseline latency: a long-term mean to which responses slowed by congestion add little."""
         self.mean_units = 0.0
-        """Units that the mean stands for, older ones fading."""
-        self.usual_units = 0.0
+        """Cost units in the mean, with exponential decay."""
+        self.baseline_units = 0.0
         self.last_sent_at = 0
 
     def learn_from(self, other: TrafficClass) -> None:
-        """Take over what has been learnt of the class under other settings."""
+        """Copies the latency statistics of the same class under other settings."""
         self.mean, self.deviation, self.usual = other.mean, other.deviation, other.usual
-        self.mean_units, self.usual_units = other.mean_units, other.usual_units
+        self.mean_units, self.baseline_units = other.mean_units, other.baseline_units
         self.last_sent_at = other.last_sent_at
 
-    def record_latency(self, sample: float, units: int, in_flight_beside: int, is_congested: bool) -> None:
-        """Learn from a response that took `sample` for each of its units.
+    def record_latency(self, sample: float, units: int, other_in_flight: int, is_congested: bool) -> None:
+        """Records the latency per unit of a response.
 
-        The mean is all time over all units. A mean of the samples would follow small hints: one of a
-        thousandth that has waited would make a thousandfold latency usual, and hide any congestion.
-        `in_flight_beside` is what else the endpoint had in flight, which made it wait: it counts for less, or
-        the queues of a fleet that is full from the start would become usual.
+        The mean is total time over total units. A mean of per-unit latencies would be dominated by small
+        hints: a request with a thousandth of the typical hint that waited in a queue would raise the baseline
+        a thousandfold and hide any congestion. `other_in_flight` is the number of other attempts in flight at
+        the endpoint, which delayed this response. The more there are, the less the response adds to the
+        baseline; otherwise the queueing of a fleet that is full from the start would become the baseline.
         """
         self.mean_units += units - LATENCY_WEIGHT * self.mean_units
-        self.usual_units += units - USUAL_WEIGHT * self.usual_units
+        self.baseline_units += units - BASELINE_WEIGHT * self.baseline_units
         if not self.mean:
             self.mean, self.deviation, self.usual = sample, sample / 2, sample
             return
@@ -79,7 +83,7 @@
         weight = units / self.mean_units
         self.mean += weight * error
         self.deviation += weight * (abs(error) - self.deviation)
-        weight = units / self.usual_units / (1 + in_flight_beside)
+        weight = units / self.baseline_units / (1 + other_in_flight)
         if is_congested:
-            weight *= CONGESTED_SHARE
+            weight *= CONGESTED_WEIGHT_SHARE
         self.usual += weight * (sample - self.usual)
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -8,7 +8,7 @@
 
 
 def test_a_change_of_the_endpoint_list_does_not_reset_the_limit() -> None:
-    """Each change of the list made all gateways send a burst to a congested fleet at once."""
+    """Each change of the endpoint list reset the limit, so all gateways sent a burst to a congested fleet."""
     entries = make_entries(8)
     gateway = GatewayModel(make_settings(), entries)
     for _ in range(60):
@@ -25,18 +25,18 @@
 
 
 def test_many_gateways_that_start_together_send_about_two_requests_an_endpoint() -> None:
-    """With a first limit of one request for each pool, hundreds of them congested a small fleet at once."""
+    """With an initial limit of one request per pool, hundreds of gateways congested a small fleet."""
     settings = make_settings(replicas=200)
     attempts = 0
     for seed in range(200):
         gateway = GatewayModel(settings, make_entries(20), seed)
         gateway.receive_request()
         attempts += len(gateway.attempts)
-    assert 20 <= attempts <= 60  # about two an endpoint, not one a gateway
+    assert 20 <= attempts <= 60  # about two per endpoint, not one per gateway
 
 
 def test_the_last_endpoint_that_is_not_ejected_does_not_get_the_capacity_of_all() -> None:
-    """With two of three ejected the third got the limit of all, was congested, and was ejected too."""
+    """With two of three endpoints ejected, the third got the whole limit, was congested and ejected too."""
     gateway = GatewayModel(make_settings(), make_entries(3))
     serve_one_by_one(gateway, 30, 10 * MS)
     endpoints = gateway.balancer.endpoints
@@ -44,21 +44,23 @@
     for endpoint_id in ("h0", "h1"):
         for _ in range(3):
             gateway.run_for(100 * MS)
-            endpoints.by_id[endpoint_id].observe(SECOND, 300 * MS, gateway.now, failed_since=gateway.now)
+            endpoints.by_id[endpoint_id].observe(
+                SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now
+            )
     before = gateway.attempts_by_endpoint()["h2"]
     for _ in range(12):
         gateway.receive_request()
     sent = gateway.attempts_by_endpoint()["h2"] - before
-    assert sent in (4, 5)  # its third, and by chance one more
+    assert sent in (4, 5)  # a third of the limit, and at most one more by random rounding
 
 
-def test_the_limit_does_not_rush_while_every_endpoint_is_busy() -> None:
-    """At a start under full load, without a usual latency, limits went from 3 to 14 in half a second."""
+def test_the_limit_does_not_grow_fast_while_every_endpoint_is_busy() -> None:
+    """At a start under full load, with no baseline latency, limits grew from 3 to 14 in half a second."""
     gateway = GatewayModel(make_settings(), make_entries(3))
     for _ in range(9):
         gateway.receive_request()
     served = 0
-    # As one request ends, one that waits takes its place: no endpoint is idle.
+    # Whenever a request ends, a waiting one is sent, so no endpoint is idle.
     while len(gateway.balancer.wait_queue):
         request_id = gateway.requests_in_flight()[0]
         gateway.run_for(5 * MS)
--- a/tests/balancer/test_delay_estimate.py
+++ b/tests/balancer/test_delay_estimate.py
@@ -8,7 +8,11 @@
 
 
 def test_attempts_that_fail_together_are_one_failure_of_the_streak() -> None:
-    """After a hang of 3 s with 19 attempts in flight it was avoided for 8 s more, and others got too much."""
+    """Failures of attempts that were in flight together count once.
+
+    An endpoint that hung for 3 s with 19 attempts in flight stayed ejected for 8 s more, and the others were
+    overloaded.
+    """
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     serve_one_by_one(gateway, 60, 10 * MS, 0)
     endpoint = gateway.balancer.endpoints.by_id["h"]
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for an original request."""
+"""Selection of an endpoint for a first attempt."""
 
 from __future__ import annotations
 
@@ -7,13 +7,17 @@
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
 
-def test_weight_and_measured_latency_both_count() -> None:
-    """Speeds differed threefold and weights were ignored; by weight alone large endpoints got too much."""
+def test_selection_uses_weight_and_measured_latency() -> None:
+    """Selection uses both the weight and the measured latency of endpoints.
+
+    Without weights, endpoints of threefold speed got no more requests than others; by weight alone, large
+    endpoints got too many.
+    """
     gateway = GatewayModel(make_settings(), [make_entry("large", weight=3.0), make_entry("small")])
     gateway.balancer.endpoints.local_pool.limit = 8.0
     for _ in range(4):
         gateway.receive_request()
-    # In flight by weight: one, two, then a tie.
+    # In-flight attempts divided by weight pick `large`, then `small`, then there is a tie.
     assert gateway.attempts_by_endpoint() == {"large": 3, "small": 1}
     slow = GatewayModel(make_settings(), [make_entry("large", weight=2.0), *make_entries(3)])
     for _ in range(80):
@@ -23,4 +27,4 @@
         slow.end_attempt(request_id, Outcome.OK)
     slow.attempts.clear()
     serve_one_by_one(slow, 40, 30 * MS)
-    assert slow.attempts_by_endpoint()["large"] < 14  # half of the random pairs contain it: twenty of forty
+    assert slow.attempts_by_endpoint()["large"] < 14  # half of the random pairs contain it: 20 of 40
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt tells about its endpoint."""
+"""What the outcome of an attempt indicates about its endpoint."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from tests.support.settings_builders import make_entry, make_settings
 
 
-def test_a_cancelled_attempt_of_a_request_with_little_time_left_is_evidence() -> None:
-    """An attempt that was cancelled before T1 was no evidence, so that silence went unnoticed under overload.
+def test_a_cancelled_attempt_of_a_request_with_little_time_left_counts_as_a_failure() -> None:
+    """Cancellations before T1 were not counted, so overload hid endpoints that do not respond.
 
-    Requests that have waited for capacity have less time left.
+    Requests that have waited for capacity have less time left than T1.
     """
     gateway = GatewayModel(make_settings(), [make_entry("good"), make_entry("silent")])
     serve_one_by_one(gateway, 30, 20 * MS)
@@ -28,20 +28,20 @@
 
 
 def test_an_endpoint_in_slow_start_is_slow_without_a_queue() -> None:
-    """Twice the usual latency was taken for queueing: its zone's limit fell, and requests spilled over."""
+    """Twice the baseline latency counted as queueing, so the zone's limit fell and requests spilled over."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     serve_one_by_one(gateway, 60, 50 * MS)
-    # It has a third of its speed or more.
+    # Its speed is at least a third of the full speed.
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now)])
     serve_all_in_flight(gateway, 20, 100 * MS)
     assert gateway.attempts_by_endpoint()["starting"] > 5
     assert gateway.balancer.endpoints.local_pool.smoothed_delay < 10 * MS
-    serve_all_in_flight(gateway, 10, 350 * MS)  # seven times the usual is more than slow start explains
+    serve_all_in_flight(gateway, 10, 350 * MS)  # seven times the baseline is more than slow start explains
     assert gateway.balancer.endpoints.local_pool.smoothed_delay > 50 * MS
 
 
 def test_responses_show_an_endpoint_that_is_slow_at_a_low_reported_load() -> None:
-    """Load reports count at the usual speed: endpoints ten times slower after a start stayed overloaded."""
+    """Load reports count requests at the baseline latency, so endpoints slowed tenfold stayed overloaded."""
     gateway = GatewayModel(
         make_settings(load_report_fields=("util", "inflight")), [make_entry("a"), make_entry("b")]
     )
@@ -51,15 +51,15 @@
     assert gateway.balancer.endpoints.local_pool.smoothed_delay > 50 * MS
 
 
-def test_an_attempt_cancelled_early_is_no_evidence_against_its_endpoint() -> None:
-    """After twice the usual time one in eight is still in flight; if cancelled, it counted as a timeout."""
+def test_an_attempt_cancelled_early_does_not_count_as_a_failure() -> None:
+    """One in eight is in flight for over twice the mean latency; if cancelled, it counted as a timeout."""
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     for _ in range(50):
         serve_one_by_one(gateway, 1, 25 * MS)
         serve_one_by_one(gateway, 1, 75 * MS)
-    for elapsed_ns, is_evidence in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
+    for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
         request_id = gateway.receive_request()
         gateway.run_for(elapsed_ns)
         gateway.client_leaves(request_id)
         gateway.end_attempt(request_id, Outcome.CANCELLED, elapsed_ns=elapsed_ns)
-        assert (gateway.balancer.endpoints.by_id["h"].failure_share > 0) == is_evidence
+        assert (gateway.balancer.endpoints.by_id["h"].failure_share > 0) == counts_as_failure
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests give way while others miss their objective."""
+"""Load shedding: which requests are shed while others miss their objective."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_a_request_that_cannot_be_in_time_is_rejected_at_once() -> None:
-    """A third of the work was for requests with a quarter of the time left that a response takes."""
+    """A third of the work went to requests that had a quarter of the time left that a response takes."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     serve_one_by_one(gateway, 60, 200 * MS)
     request_id = gateway.receive_request(timeout_ns=50 * MS)
@@ -23,8 +23,8 @@
     assert gateway.attempts[-1].request_id == request_id
 
 
-def test_a_class_that_looks_too_slow_is_sent_again_after_a_while() -> None:
-    """Once a class was taken for too slow none of it was sent, and nothing showed that it was fast again."""
+def test_a_class_that_is_shed_is_sent_again_as_a_trial() -> None:
+    """A class considered too slow was never sent again, so no response could show that it had become fast."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     serve_one_by_one(gateway, 60, 900 * MS)
     before = len(gateway.attempts)
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -1,18 +1,21 @@
-"""Outlier ejection: which endpoints are avoided, and for how long."""
+"""Outlier ejection: which endpoints are ejected, and for how long."""
 
 from __future__ import annotations
 
 import pytest
 
 from balancer import MS, SECOND, Idempotency, Outcome
-from balancer.outlier import BROKEN_STREAK, is_ejected
+from balancer.outlier import MIN_BROKEN_STREAK, is_ejected
 from tests.support.gateway_model import GatewayModel, serve_one_by_one
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
 
 def test_an_endpoint_that_rejects_every_attempt_is_ejected() -> None:
-    """One that hung with a full queue rejected each attempt, and was taken for recovered each time."""
+    """An endpoint that hung and rejected every attempt was considered recovered after each one.
+
+    Its queue was full, so the rejections came fast.
+    """
     gateway = GatewayModel(make_settings(), [make_entry("good"), make_entry("full")])
     for _ in range(60):
         request_id = gateway.receive_request()
@@ -23,8 +26,8 @@
     assert gateway.attempts_by_endpoint()["full"] < 10
 
 
-def test_a_silent_endpoint_is_ejected_by_requests_that_may_not_be_retried() -> None:
-    """Non-idempotent attempts last until the deadline: a silent endpoint still got half of all requests."""
+def test_an_unresponsive_endpoint_is_ejected_by_requests_that_may_not_be_retried() -> None:
+    """Non-idempotent attempts have no timeout, so an unresponsive endpoint kept half of all requests."""
     gateway = GatewayModel(
         make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("good"), make_entry("silent")]
     )
@@ -39,57 +42,58 @@
     assert not gateway.violations
 
 
-def test_evidence_of_slow_requests_ejects_an_endpoint_for_fast_ones_too() -> None:
-    """Evidence lasted for the T1 of whichever request looked at it.
+def test_failures_of_slow_requests_eject_an_endpoint_for_fast_ones_too() -> None:
+    """An ejection lasts equally long for requests with any T1.
 
-    The class with the shortest latency objective went on sending to silent endpoints.
+    Failures decayed by the T1 of the current request, so the class with the shortest latency objective kept
+    sending to unresponsive endpoints.
     """
     fast = make_class(name="fast", latency_objective_ns=100 * MS)
     slow = make_class(name="slow", latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
     gateway = GatewayModel(make_settings(fast, slow), [make_entry("h")])
     endpoint = gateway.balancer.endpoints.by_id["h"]
     for now in (SECOND, 2 * SECOND):
-        endpoint.observe(SECOND, SECOND, now, failed_since=now)
+        endpoint.observe(SECOND, SECOND, now, failed_attempt_sent_at=now)
     assert is_ejected(endpoint, 75 * MS, 3400 * MS)
 
 
 def test_endpoints_that_reject_everything_are_left_to_recover() -> None:
-    """Gateways went on sending to a subset that rejected all attempts for overload: it never recovered."""
+    """Gateways kept sending to a subset that rejected all attempts for overload, so it never recovered."""
     gateway = GatewayModel(make_settings(), [make_entry("a"), make_entry("b")])
-    for _ in range(400):  # forty seconds
+    for _ in range(400):  # 40 seconds
         gateway.receive_request()
         for request_id, record in gateway.requests.items():
             while record.attempts_in_flight:
                 gateway.end_attempt(request_id, Outcome.OVERLOADED, elapsed_ns=MS)
         gateway.run_for(100 * MS)
     late = sum(attempt.sent_at > 10 * SECOND for attempt in gateway.attempts)
-    assert 1 <= late <= 30  # one is still sent now and then
+    assert 1 <= late <= 30  # a few are still sent
     assert not gateway.violations
 
 
 @pytest.mark.parametrize("outcome", [Outcome.INVALID_RESPONSE, Outcome.RESET])
-def test_broken_responses_are_evidence_only_in_a_row(outcome: Outcome) -> None:
+def test_broken_responses_count_as_failures_only_in_a_row(outcome: Outcome) -> None:
     gateway = GatewayModel(make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("h")])
     serve_one_by_one(gateway, 20, 20 * MS, 200 * MS)
     endpoint = gateway.balancer.endpoints.by_id["h"]
-    for number in range(BROKEN_STREAK):
+    for number in range(MIN_BROKEN_STREAK):
         request_id = gateway.receive_request()
         gateway.run_for(20 * MS)
         gateway.end_attempt(request_id, outcome)
         assert gateway.final_responses[request_id] is FinalResponse.FAILED
-        assert (endpoint.failure_share > 0.0) == (number == BROKEN_STREAK - 1)
+        assert (endpoint.failure_share > 0.0) == (number == MIN_BROKEN_STREAK - 1)
     assert not gateway.violations
 
 
 def test_an_endpoint_no_longer_ejected_gets_one_attempt_until_one_is_served() -> None:
-    """It got as many attempts at once as its part of the limit, and all were lost if it still hung."""
+    """The endpoint got as many attempts at once as its part of the limit, and all failed if it still hung."""
     gateway = GatewayModel(make_settings(), make_entries(2))
     serve_one_by_one(gateway, 30, 10 * MS)
     gateway.balancer.endpoints.local_pool.limit = 20.0
     failing = gateway.balancer.endpoints.by_id["h0"]
     for _ in range(3):
         gateway.run_for(100 * MS)
-        failing.observe(SECOND, 300 * MS, gateway.now, failed_since=gateway.now)
+        failing.observe(SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now)
     while is_ejected(failing, 300 * MS, gateway.now):
         gateway.run_for(100 * MS)
     before = gateway.attempts_by_endpoint()["h0"]
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: their timeouts, the choice of their endpoints, and what forbids them."""
+"""Retries: attempt timeouts, endpoint selection, and the conditions that forbid a retry."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_a_retry_with_an_idempotency_key_finds_another_endpoint_of_the_cell() -> None:
-    """Retries drew from the gateway's subset, which seldom contains the one other endpoint of the cell."""
+    """Retries drew only from the gateway's subset, which rarely contains the cell's one other endpoint."""
     entries = [make_entry(f"h{number}", cell=number // 2) for number in range(60)]
     settings = make_settings(
         make_class(
@@ -42,21 +42,21 @@
 
 
 def test_a_retry_needs_capacity() -> None:
-    """Retries exceeded the limit, and a congested fleet stayed full."""
+    """Retries ignored the concurrency limit and kept a congested fleet congested."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     request_ids = [gateway.receive_request() for _ in range(4)]
     gateway.end_attempt(request_ids[0], Outcome.RESET)
-    request_ids += [gateway.receive_request() for _ in range(8)]  # they use up the limit
+    request_ids += [gateway.receive_request() for _ in range(8)]  # uses up the limit
     for request_id in request_ids[1:]:
         if gateway.in_flight(request_id):
-            gateway.balancer.endpoints.local_pool.limit = 0.0  # congested by now
+            gateway.balancer.endpoints.local_pool.limit = 0.0  # simulates congestion
     before = len(gateway.attempts)
     gateway.run_for(350 * MS)
     assert len(gateway.attempts) == before
 
 
 def test_an_attempt_has_no_timeout_where_its_retry_would_miss_the_objective() -> None:
-    """Without any congestion, long requests timed out and were repeated too late: the same work twice."""
+    """Long requests timed out without any congestion, and their retries came too late and duplicated work."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     request_id = gateway.receive_request()
     assert gateway.attempts[-1].timeout_ns == 300 * MS  # no latency is known yet: T1
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what an endpoint that has just started gets from all gateways together."""
+"""Slow start: the load on an endpoint that has just started, from all gateways together."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
 
-def replace_by_starting(gateway: GatewayModel) -> None:
-    """Have the endpoint list consist of one endpoint that starts now."""
+def replace_list_by_starting_endpoint(gateway: GatewayModel) -> None:
+    """Replaces the endpoint list by a single endpoint that starts now."""
     starting = make_entry("starting", started_ns=gateway.now)
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [starting])
 
 
 @pytest.mark.parametrize("zones", [1, 2])
 def test_many_gateways_together_do_not_overload_an_endpoint_in_slow_start(zones: int) -> None:
-    """Eighty gateways overloaded the only endpoint left: each sent one request in an overload window."""
+    """80 gateways overloaded the only remaining endpoint: each sent one request within an overload window."""
     rules = Rules(
         slow_start_initial_share=0.3,
         slow_start_window_ns=10 * SECOND,
@@ -37,17 +37,17 @@
         gone = make_entry("warm", state=EndpointState.GONE)
         starting = make_entry("starting", started_ns=gateway.now)
         gateway.update_endpoint_list(UpdateKind.DELTA, [gone, starting])
-        if number < 50:  # those whose next request comes within the first two seconds
+        if number < 50:  # gateways whose next request arrives within the first two seconds
             gateway.run_for(number * 40 * MS)
             serve_one_by_one(gateway, 1, 80 * MS)
         sent += gateway.attempts_by_endpoint()["starting"]
-    # One core serves 12.5 requests a second, and 0.3 to 0.44 of that in the first two seconds of slow start.
+    # One core serves 12.5 requests per second, and 0.3 to 0.44 of that in the first 2 s of slow start.
     assert sent < 3.0 * 0.3 * 12.5 * 2
 
 
 @pytest.mark.parametrize("gateways", [2, 8, 20, 30, 200])
 def test_gateways_notified_of_a_start_at_the_same_time_do_not_send_at_once(gateways: int) -> None:
-    """With a first credit of one attempt each of two hundred gateways sent one, however slow it was."""
+    """With an initial credit of one attempt, each of 200 gateways sent one, however slow the endpoint was."""
     rules = Rules(
         slow_start_initial_share=0.12,
         slow_start_window_ns=23 * SECOND,
@@ -59,7 +59,7 @@
         settings = make_settings(replicas=gateways, instance_number=number, rules=rules)
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
         serve_one_by_one(gateway, 20, 300 * MS, 3120 * MS)
-        replace_by_starting(gateway)
+        replace_list_by_starting_endpoint(gateway)
         serve_all_in_flight(gateway, 20, 10 * MS)
         sent += gateway.attempts_by_endpoint()["starting"]
     # One core serves 10 requests in 3 s, and 0.12 of that in slow start.
@@ -68,17 +68,17 @@
 
 
 def test_unused_slow_start_credit_does_not_accumulate() -> None:
-    """What an endpoint could have taken while nothing came is no budget for what comes later."""
+    """Credit that is unused while no requests arrive does not add to the budget of later ones."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     serve_one_by_one(gateway, 60, 50 * MS)
-    replace_by_starting(gateway)
+    replace_list_by_starting_endpoint(gateway)
     gateway.run_for(5 * SECOND)
     serve_all_in_flight(gateway, 20, MS)
     assert gateway.attempts_by_endpoint()["starting"] <= 2
 
 
 def test_endpoints_that_started_long_ago_are_warm_also_near_the_zero_of_the_clock() -> None:
-    """Near the clock's zero they counted as in slow start, and the next endpoint list raised the limit."""
+    """Near the zero of the clock all counted as in slow start, so the next endpoint list raised the limit."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     before = gateway.balancer.endpoints.local_pool.limit
     gateway.run_until(5 * SECOND)
@@ -87,32 +87,32 @@
 
 
 def test_congestion_of_warm_endpoints_leaves_the_slow_start_budget_as_it_is() -> None:
-    """The budget followed the latency with its queueing: longer queues elsewhere left less of it."""
+    """The budget was based on a latency that included queueing, so longer queues elsewhere reduced it."""
     sent = []
     for queueing_delay in (0, 280 * MS):
         gateway = GatewayModel(make_settings(), [make_entry("warm")])
         serve_one_by_one(gateway, 100, 20 * MS)
         serve_one_by_one(gateway, 40, 20 * MS + queueing_delay)
-        replace_by_starting(gateway)
+        replace_list_by_starting_endpoint(gateway)
         serve_all_in_flight(gateway, 200, 10 * MS)
         sent.append(gateway.attempts_by_endpoint()["starting"])
     assert sent[1] > 0.5 * sent[0] > 10
 
 
 def test_an_endpoint_in_slow_start_gets_attempts_by_its_reported_load() -> None:
-    """Its budget was an estimate for the worst case, and stayed a part of that while it was idle."""
+    """The budget was a worst-case estimate and remained a fraction of it even while the endpoint was idle."""
     sent = []
     for reported_in_flight in (1.0, 3.0, 9.0):
         gateway = GatewayModel(make_settings(load_report_fields=("inflight",)), [make_entry("warm")])
         serve_all_in_flight(gateway, 100, 20 * MS, load_report=(1.0,))
-        replace_by_starting(gateway)
+        replace_list_by_starting_endpoint(gateway)
         serve_all_in_flight(gateway, 200, 10 * MS, load_report=(reported_in_flight,))
         sent.append(gateway.attempts_by_endpoint()["starting"])
     assert sent[0] > 1.3 * sent[1] > 1.3 * 2 * sent[2] > 0
 
 
 def test_requests_that_spill_over_go_to_endpoints_in_slow_start_too() -> None:
-    """A zone came back in slow start: the other, short of endpoints, sent it nothing until all were warm."""
+    """Spillover sent nothing to a zone in slow start, even if the local zone was short of endpoints."""
     gateway = GatewayModel(make_settings(zones=2), [make_entry("local"), make_entry("remote", zone=1)])
     serve_all_in_flight(gateway, 100, 20 * MS)
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("remote", zone=1, started_ns=gateway.now)])
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -1,4 +1,4 @@
-"""The latency that is learnt of a traffic class."""
+"""Latency statistics of a traffic class."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
 
-def test_a_small_cost_hint_that_waited_does_not_hide_congestion() -> None:
-    """One with a hint of a microsecond took 50 ms: a thousandfold latency was usual, congestion normal."""
+def test_a_delayed_request_with_a_small_cost_hint_does_not_hide_congestion() -> None:
+    """A request with a hint of 1 us took 50 ms, raised the baseline a thousandfold and hid congestion."""
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), make_entries(4))
 
     def serve(cost_hint_ns: int, latency_ns: int) -> None:
@@ -22,11 +22,11 @@
     serve(1000, 50 * MS)
     for _ in range(40):
         serve(10 * MS, 60 * MS)
-    assert gateway.balancer.endpoints.local_pool.current(SECOND, gateway.now) > 20 * MS
+    assert gateway.balancer.endpoints.local_pool.current_delay(SECOND, gateway.now) > 20 * MS
 
 
-def test_responses_that_waited_behind_others_hardly_raise_the_usual_latency() -> None:
-    """Queueing in a fleet full from the start became usual, and limits grew until it was congested."""
+def test_responses_that_waited_behind_others_hardly_raise_the_baseline_latency() -> None:
+    """Queueing in a fleet full from the start became the baseline, so limits grew until congestion."""
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), [make_entry("h")])
     for _ in range(40):
         gateway.balancer.endpoints.local_pool.limit = 9.0
