--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -35,7 +35,7 @@
             self.missed_share += LATENCY_WEIGHT * (missed - self.missed_share)
 
     def shed_probability(self) -> float:
-        """Returns the probability of shedding an eligible request; it is 0 while few objectives are missed."""
+        """Returns the probability of shedding an eligible request: 0 while few objectives are missed."""
         share = (self.missed_share - SHEDDING_START_SHARE) / (FULL_SHEDDING_SHARE - SHEDDING_START_SHARE)
         return min(max(share, 0.0), 1.0)
 
