--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of an HTTP load balancer, without input or output."""
+"""Decision logic of an HTTP load balancer; performs no I/O."""
 
 from .balancer import Balancer
 from .endpoint_list import EndpointEntry, EndpointId, EndpointState, UpdateKind
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -1,7 +1,7 @@
-"""The interface of a balancer: the events that it takes and the actions that it requests.
+"""Interface of a balancer: the events it handles and the actions it requests.
 
-A caller implements `Actions` and hands every event to a `Balancer`. Nothing here reads a clock: each event
-carries the time, in nanoseconds.
+A caller implements `Actions` and passes every event to a `Balancer`. The package reads no clock: each event
+carries its time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -17,139 +17,139 @@
 
 
 class IncomingRequest(NamedTuple):
-    """A request that a client has sent to this gateway."""
+    """A request received from a client."""
 
     request_id: int
-    """This gateway's number for it."""
+    """Identifies the request at this gateway."""
     class_index: int
-    """Position in `Settings.classes`."""
+    """Index into `Settings.classes`."""
     tenant_index: int
-    """Position in `Settings.tenants`; 0 where there are none."""
+    """Index into `Settings.tenants`; 0 if there are none."""
     routing_key: int
-    """What the request is about; 0 where it does not say."""
+    """Key of the resource that the request concerns; 0 if the client gave none."""
     timeout_ns: int
-    """One final response is due within this time."""
+    """Time from arrival within which one final response is due."""
     cost_hint_ns: int
-    """The work that the client expects of it; 0 where it does not say."""
+    """The client's estimate of the work; 0 if the client gave none."""
     is_retry: bool
-    """Whether the client has sent it before."""
+    """Whether the client marked it as a retry."""
     is_write: bool = False
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt has ended."""
+    """Result of an attempt."""
 
     request_id: int
     attempt: int
-    """Attempts of a request count from 0."""
+    """Number of the attempt within its request, from 0."""
     endpoint_id: EndpointId
     outcome: Outcome
     elapsed_ns: int
-    """Time since the attempt was sent."""
+    """Time from sending the attempt to its end."""
     is_final: bool
-    """Whether it has ended the request, with the final response sent."""
+    """Whether this attempt supplied the final response, which has been sent to the client."""
     load_report: Sequence[float]
-    """The columns of `Settings.load_report_fields`, in their order; empty where the endpoint sent none."""
+    """Values in the order of `Settings.load_report_fields`; empty if the endpoint sent no load report."""
 
 
 class HealthCheckResult(NamedTuple):
-    """How a health check has ended."""
+    """Result of a health check."""
 
     endpoint_id: EndpointId
     outcome: Outcome
     elapsed_ns: int
-    """Time since the health check was sent."""
+    """Time from sending the health check to its end."""
     load_report: Sequence[float]
-    """As in `AttemptResult`."""
+    """Same format as `AttemptResult.load_report`."""
 
 
 class Actions(Protocol):
-    """What a balancer requests of its gateway. The calls take effect in the order in which they are made."""
+    """Actions that a balancer requests from its gateway; calls take effect in the order they are made."""
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
-        """Start the next attempt of a request; its attempts count from 0.
+        """Start the next attempt of a request; attempts are numbered from 0.
 
-        It ends as timed out after `timeout_ns`, with 0 at the deadline.
+        The attempt times out after `timeout_ns`, or at the request's deadline if that is 0.
         """
 
     def fail(self, request_id: int, reason: EndReason) -> None:
-        """Give the final response: failed, with no promise about the effect."""
+        """Send the final response: failed; the request may or may not have taken effect."""
 
     def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:
-        """Give the final response: rejected, and sending the request again is harmless.
+        """Send the final response: rejected; the client may safely send the request again.
 
-        `retry_after_ns` is when to do so, 0 for no advice.
+        `retry_after_ns` is the suggested delay before that; 0 for no suggestion.
         """
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
-        """Stop waiting for an attempt in flight."""
+        """Cancel an attempt in flight."""
 
     def set_timer(self, token: int, delay_ns: int) -> None:
-        """Request `on_timer` with this token after the delay."""
+        """Schedule a call of `on_timer` with this token after the delay."""
 
     def watch_endpoints(self, active: bool) -> None:
-        """Subscribe to the changes of the endpoint list, or unsubscribe."""
+        """Subscribe to changes of the endpoint list, or unsubscribe if not `active`."""
 
     def fetch_endpoints(self) -> None:
-        """Request a snapshot of the endpoint list once."""
+        """Request one snapshot of the endpoint list."""
 
     def check_health(self, endpoint_id: EndpointId) -> None:
-        """Send a health check."""
+        """Send a health check to an endpoint."""
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to an endpoint."""
 
     def send_gossip(self, peer: int | None, content: bytes) -> None:
-        """Send a short message to one other gateway, or to all with None."""
+        """Send a gossip message to one peer, or to all peers if `peer` is None."""
 
     def log(self, text: str) -> None:
-        """Write a line for whoever is on call."""
+        """Write a line to the operators' log."""
 
 
 class EventHandler(Protocol):
-    """The decisions of one gateway.
+    """Handlers for the events of one gateway.
 
-    `now_ns` is the time of an event, ns; a time before that of an earlier event counts as that time.
+    `now_ns` is the time of the event; a time earlier than a previous event's is raised to that event's time.
     """
 
     def on_endpoint_list(self, now_ns: int, kind: UpdateKind, entries: Sequence[EndpointEntry]) -> None:
-        """Discovery has sent changes or a snapshot, or a call of it has failed (no entries)."""
+        """Handle a delta or snapshot from discovery, or a failed discovery call (no entries)."""
 
     def on_request(self, now_ns: int, incoming: IncomingRequest) -> None:
-        """A client's request has come.
+        """Handle a request from a client.
 
-        Raises ValueError for a class or tenant that the settings do not name and for a number that is taken.
+        Raises ValueError for an unknown class or tenant, or for a request ID that is in use.
         """
 
     def on_response_started(self, now_ns: int, request_id: int, attempt: int) -> None:
-        """A streamed response has begun: the request is bound to this attempt and has no deadline now."""
+        """Handle the start of a streamed response, which binds the request to the attempt and ends its deadline."""
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
 
     def on_client_gone(self, now_ns: int, request_id: int) -> None:
-        """The client has left and needs no response any more."""
+        """Handle the disconnect of a client, which needs no response any more."""
 
     def on_timer(self, now_ns: int, token: int) -> None:
-        """A timer has expired."""
+        """Handle the expiry of a timer."""
 
     def on_health_checked(self, now_ns: int, result: HealthCheckResult) -> None:
-        """A health check has ended."""
+        """Handle the result of a health check."""
 
     def on_gossip(self, now_ns: int, peer: int, content: bytes) -> None:
-        """Another gateway has sent a message."""
+        """Handle a gossip message from a peer."""
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
-        """Other settings are in force for what comes from now on; `tenants` in them is not read.
+        """Replace the settings for all later events; ignores the `tenants` field.
 
-        Open requests keep the terms on which they came. `zone`, `zones`, `instance_number`, `tick_ns`,
-        `poll_discovery` and `load_report_fields` can't change, nor the idempotency of a class that keeps its
-        name: raises ValueError, and the old settings stay.
+        Open requests keep the class settings with which they arrived. `zone`, `zones`, `instance_number`,
+        `tick_ns`, `poll_discovery` and `load_report_fields` can't change, nor can the idempotency of a class
+        that keeps its name: such a change raises ValueError, and the old settings stay in force.
         """
 
     def on_tenants(self, now_ns: int, changes: Sequence[tuple[int, Tenant]]) -> None:
-        """Tenants have changed, in order: each has its position from now on, one past the last is new.
+        """Apply changes of tenants in order; each pairs an index with the tenant that it now refers to.
 
-        A position whose tenant has no quota forgets its credit. Raises ValueError for a position further on,
-        before any change.
+        The index after the last one adds a tenant. A tenant without a quota loses its credit. An index beyond
+        that raises ValueError before any change is applied.
         """
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,6 +1,6 @@
-"""The settings of a balancer: what the operators configure, checked when it is built.
+"""Settings of a balancer, validated on construction.
 
-A value that makes no sense raises ValueError with the name of its field.
+An invalid value raises ValueError with the name of its field.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 __all__ = ["Goal", "Limits", "Prices", "RequestClass", "Rules", "Settings", "Tenant"]
 
 
-def _positive(owner: str, **values: float) -> None:
+def _require_positive(owner: str, **values: float) -> None:
     for name, value in values.items():
         if not value > 0:
             raise ValueError(f"{owner}.{name} must be above zero, not {value!r}")
 
 
-def _not_negative(owner: str, **values: float) -> None:
+def _require_non_negative(owner: str, **values: float) -> None:
     for name, value in values.items():
         if not value >= 0:
             raise ValueError(f"{owner}.{name} must not be negative, not {value!r}")
 
 
-def _share(owner: str, **values: float) -> None:
+def _require_share(owner: str, **values: float) -> None:
     for name, value in values.items():
         if not 0 <= value <= 1:
             raise ValueError(f"{owner}.{name} must lie between 0 and 1, not {value!r}")
@@ -33,36 +33,36 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: its weight, its objective, and what repeating it does."""
+    """A class of requests: its weight, latency objective and idempotency."""
 
     name: str
     latency_objective_ns: int
-    """Time within which a response has its full weight."""
+    """Latency up to which a response has its full weight."""
     deadline_ns: int
-    """The longest timeout that its clients give."""
+    """Longest timeout that clients set for this class."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
-    """Time for which endpoints recognize a request with an idempotency key."""
+    """Time for which endpoints recognize a repeated idempotency key."""
     priority_weight: float = 1.0
-    """Weight of a response within the objective."""
+    """Weight of a response within the latency objective."""
     late_weight: float = 0.0
-    """Weight of a later one, as a part of that."""
+    """Weight of a response after the latency objective, as a share of `priority_weight`."""
     streaming: bool = False
     objective_cost_factor: float = 0.0
-    """The objective grows by this multiple of a request's cost hint, up to the deadline."""
+    """Multiple of a request's cost hint that is added to its latency objective, up to the deadline."""
 
     def __post_init__(self) -> None:
         owner = f"class {self.name!r}"
-        _positive(owner, latency_objective_ns=self.latency_objective_ns, deadline_ns=self.deadline_ns)
-        _not_negative(
+        _require_positive(owner, latency_objective_ns=self.latency_objective_ns, deadline_ns=self.deadline_ns)
+        _require_non_negative(
             owner,
             priority_weight=self.priority_weight,
             late_weight=self.late_weight,
             objective_cost_factor=self.objective_cost_factor,
         )
         if self.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            _positive(owner, deduplication_window_ns=self.deduplication_window_ns)
+            _require_positive(owner, deduplication_window_ns=self.deduplication_window_ns)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,18 +71,18 @@
 
     name: str
     quota_per_s: float = 0.0
-    """Requests a second, over all gateways, that count in full; 0 for no quota."""
+    """Requests per second over all gateways that have their full weight; 0 for no quota."""
     traffic_share: float = 0.0
-    """Its share of the traffic; 0 where it is not known."""
+    """Share of all traffic that comes from this tenant; 0 if unknown."""
 
     def __post_init__(self) -> None:
         owner = f"tenant {self.name!r}"
-        _not_negative(owner, quota_per_s=self.quota_per_s, traffic_share=self.traffic_share)
+        _require_non_negative(owner, quota_per_s=self.quota_per_s, traffic_share=self.traffic_share)
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows."""
+    """Limits and optional features of the deployment."""
 
     max_attempts: int = 3
     cancellation: bool = True
@@ -93,23 +93,23 @@
     gossip: bool = False
     """Whether gateways may send each other messages."""
     retry_after: bool = False
-    """Whether rejections may say when to come back."""
+    """Whether rejections may carry a Retry-After value."""
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 250 * MS
     idle_timeout_ns: int = 0
-    """Time after which endpoints close an idle connection; 0 where it is not known."""
+    """Time after which endpoints close an idle connection; 0 if unknown."""
     streams_per_connection: int = 1
     max_open_requests: int = 0
-    """Open requests of a gateway, which rejects more before its balancer sees them; 0 for no limit."""
+    """Open requests of a gateway, which rejects any further ones before its balancer; 0 for no limit."""
     cpu_us_per_s: float = 0.0
-    """0 where it is not known."""
+    """Microseconds of CPU time per second; 0 if unknown."""
     cpu_us_per_request: float = 0.0
 
     def __post_init__(self) -> None:
-        _positive(
+        _require_positive(
             "limits", max_attempts=self.max_attempts, streams_per_connection=self.streams_per_connection
         )
-        _not_negative(
+        _require_non_negative(
             "limits",
             max_retry_after_ns=self.max_retry_after_ns,
             idle_timeout_ns=self.idle_timeout_ns,
@@ -122,26 +122,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the operators' rules."""
+    """Parameters of the operators' rules."""
 
     response_slack_ns: int = 5 * MS
-    """A final response may come so long after the deadline."""
+    """Time after the deadline by which the final response must be sent."""
     drain_grace_ns: int = SECOND
-    """Attempts may still be sent to an endpoint so long after it is notified to be draining."""
+    """Time for which a draining endpoint may still get attempts after the gateway was notified."""
     poll_interval_ns: int = 10 * SECOND
-    """The endpoint list may be so old where discovery is polled."""
+    """Maximum age of the endpoint list where discovery is polled."""
     slow_start_initial_share: float = 0.33
-    """Share of its capacity with which an endpoint starts."""
+    """Share of its full capacity that an endpoint has when it starts."""
     slow_start_window_ns: int = 10 * SECOND
-    """Time in which that share grows to 1."""
+    """Time in which an endpoint's capacity share grows from the initial share to 1."""
     overload_factor: float = 3.0
-    """Multiple of the capacity that it has then at which an endpoint in slow start is overloaded."""
+    """Multiple of its current capacity at which an endpoint in slow start is overloaded."""
     overload_window_ns: int = SECOND
-    """Time over which that load is counted."""
+    """Time over which the load of an endpoint in slow start is measured."""
 
     def __post_init__(self) -> None:
-        _share("rules", slow_start_initial_share=self.slow_start_initial_share)
-        _positive(
+        _require_share("rules", slow_start_initial_share=self.slow_start_initial_share)
+        _require_positive(
             "rules",
             poll_interval_ns=self.poll_interval_ns,
             overload_factor=self.overload_factor,
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """The weights of the parts of the operators' result; all 0 where they are not known."""
+    """Weights of the components of the operators' score; all 0 if unknown."""
 
     overall: float = 0.0
     worst_window: float = 0.0
@@ -162,7 +162,7 @@
     top_nines: float = 3.0
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _require_non_negative(
             "goal",
             overall=self.overall,
             worst_window=self.worst_window,
@@ -170,27 +170,27 @@
             worst_class=self.worst_class,
             worst_tenant=self.worst_tenant,
         )
-        _positive("goal", top_nines=self.top_nines)
+        _require_positive("goal", top_nines=self.top_nines)
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What the operators take off their result, in mean priority weights; 0 where they are not known."""
+    """Penalties in the operators' score, in units of the mean priority weight; 0 if unknown."""
 
     cross_zone: float = 0.0
-    """For an attempt that crosses zones."""
+    """Penalty for an attempt at an endpoint of another zone."""
     waste: float = 0.0
-    """For work that served no response, as a part of all work."""
+    """Penalty for work that led to no served response, as a share of all work."""
     health_check: float = 0.0
     handshake: float = 0.0
-    """For a new connection."""
+    """Penalty for a new connection."""
     connection: float = 0.0
-    """For a hundred open connections at an endpoint."""
+    """Penalty for each hundred open connections at an endpoint."""
     late_failure: float = 0.0
-    """For a request that ends unserved after its objective."""
+    """Penalty for a request that ends unserved after its latency objective."""
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _require_non_negative(
             "prices",
             cross_zone=self.cross_zone,
             waste=self.waste,
@@ -206,10 +206,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one gateway's balancer."""
+    """Settings of the balancer of one gateway."""
 
     zone: int
-    """The gateway's own zone, from 0."""
+    """Index of the gateway's own zone, from 0."""
     zones: int
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -218,23 +218,23 @@
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
     instance_number: int = 0
-    """The gateway's number among its replicas, from 0."""
+    """Index of this gateway among its replicas, from 0."""
     replicas: int = 1
     tick_ns: int = MS
     """Resolution of the timers."""
     poll_discovery: bool = False
-    """Whether the gateway has to poll for the endpoint list; otherwise it is pushed."""
+    """Whether the gateway polls for the endpoint list; otherwise discovery pushes it."""
     load_report_fields: tuple[str, ...] = ()
     load_report_inline: bool = False
-    """Whether load reports come with responses."""
+    """Whether responses carry load reports."""
     over_quota_weight: float = 1.0
-    """Weight of a request beyond its tenant's quota, as a part of its priority weight."""
+    """Weight of a request over its tenant's quota, as a share of its priority weight."""
     warm_keys: bool = False
-    """Whether endpoints serve routing keys faster that they have served before."""
+    """Whether an endpoint serves a routing key faster if it has served that key before."""
     weight_by_work: bool = False
     """Whether a request's priority weight grows with its work."""
     weights: str = "off"
-    """What an endpoint's weight means, one of `WEIGHT_MODES`; it is always 1 if "off"."""
+    """Meaning of endpoint weights, one of `WEIGHT_MODES`; with "off" each weight is 1."""
     machine_types: int = 0
     clients_mark_retries: bool = False
 
@@ -243,10 +243,10 @@
             raise ValueError(
                 f"settings.weights must be one of {', '.join(WEIGHT_MODES)}, not {self.weights!r}"
             )
-        _not_negative(
+        _require_non_negative(
             "settings", instance_number=self.instance_number, over_quota_weight=self.over_quota_weight
         )
-        _positive("settings", zones=self.zones, replicas=self.replicas, tick_ns=self.tick_ns)
+        _require_positive("settings", zones=self.zones, replicas=self.replicas, tick_ns=self.tick_ns)
         if not 0 <= self.zone < self.zones:
             raise ValueError(f"settings.zone {self.zone} is not one of {self.zones} zones")
         if not self.classes:
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -1,6 +1,6 @@
-"""`Settings` from the JSON object that the gateway's configuration and the simulator send.
+"""Parses `Settings` from the JSON object in the gateway's configuration and the simulator's messages.
 
-The keys are those of the operators' pages; unknown ones are ignored, and most missing ones take a default.
+The key names are set by the operators. Unknown keys are ignored; most missing keys take a default.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 __all__ = ["SettingsError", "parse_settings", "parse_tenant"]
 
 JsonObject = dict[str, Any]
-"""A JSON object whose values are checked where they are read."""
+"""A JSON object whose values have not been validated yet."""
 
 _IDEMPOTENCY = {
     "read_like": Idempotency.SAFE,
@@ -32,7 +32,7 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that is malformed, or has a value that makes no sense."""
+    """A settings object is malformed or has an invalid value."""
 
 
 def _parse_classes(rows: list[JsonObject]) -> tuple[RequestClass, ...]:
@@ -107,16 +107,16 @@
 
 
 def parse_tenant(row: JsonObject, index: int) -> Tenant:
-    """A tenant from its row of `realms`; one without a name is named by its position, `index`."""
+    """Parse a tenant from its row of `realms`; the name defaults to `index`, its position."""
     return Tenant(
         str(row.get("name", index)), float(row.get("allowance-per-s", 0.0)), float(row.get("portion", 0.0))
     )
 
 
 def parse_settings(text: bytes) -> Settings:
-    """The settings of a gateway from a JSON object in UTF-8.
+    """Parse the settings of a gateway from a JSON object in UTF-8.
 
-    Raises `SettingsError` for one that is malformed or has a value that makes no sense.
+    Raises `SettingsError` if the object is malformed or has an invalid value.
     """
     try:
         values = json.loads(text)
