--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,9 +1,10 @@
-"""The balancer of one gateway: takes events, hands them to the decision modules, and requests actions.
+"""The balancer of one gateway: passes events to the decision modules, which request actions.
 
-An attempt that fails is repeated under queue-gated retries, after Hong, Huang and Yan, "Impact of
-Retransmission Mechanism on SIP Overload": the gap between two attempts doubles from T1, and a retry passes
-with a probability that falls as the receiving endpoint's smoothed queueing delay rises from 0.2 T1 to T1.
-Selection, limits, ejection and slow start are this project's own, each with its reason beside it.
+Failed attempts are retried with queue-gated retries, after Hong, Huang and Yan, "Impact of Retransmission
+Mechanism on SIP Overload": the gap between two attempts doubles from T1, and a retry passes with a
+probability that falls as the receiving endpoint's smoothed queueing delay rises from 0.2 T1 to T1. Endpoint
+selection, concurrency limits, outlier ejection and slow start do not follow that paper; their modules
+explain them.
 """
 
 from __future__ import annotations
@@ -35,19 +36,19 @@
 
 __all__ = ["Balancer"]
 
-FIXED_SETTINGS = ("zone", "zones", "instance_number", "tick_ns", "poll_discovery", "load_report_fields")
-"""Settings that can't change while a balancer runs."""
+IMMUTABLE_SETTINGS = ("zone", "zones", "instance_number", "tick_ns", "poll_discovery", "load_report_fields")
+"""Settings that can't change while the balancer runs."""
 
 
 class Balancer:
-    """The decisions of one gateway: the `EventHandler` of this package.
+    """Handles the events of one gateway; implements `EventHandler`.
 
-    `seed` starts its random numbers. The parts are public for tests and tools that look into them.
+    `seed` initializes its random number generator. The components are public for tests and tools.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         random = Random(seed).random
-        self._now = 0
+        self._now_ns = 0
         self.settings = settings
         self.classes = [TrafficClass(item) for item in settings.classes]
         self.tenants = TenantQuotas(settings.tenants)
@@ -87,12 +88,12 @@
     # ---- Settings --------------------------------------------------------------------------------
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
-        """Other settings are in force; open requests keep their class, and so the terms of its retries."""
-        now = self._advance(now_ns)
-        for name in FIXED_SETTINGS:
+        """Replace the settings; open requests keep their old class, including its retry rules."""
+        now = self._advance_clock(now_ns)
+        for name in IMMUTABLE_SETTINGS:
             if getattr(self.settings, name) != getattr(settings, name):
                 raise ValueError(f"settings.{name} can't change")
-        self.classes = self._succeeding_classes(settings)
+        self.classes = self._carry_over_classes(settings)
         self.settings = settings
         self.throughput.apply_settings(settings.classes)
         self.slow_start.apply_settings(settings)
@@ -101,40 +102,40 @@
         self.lifecycle.apply_settings(settings)
         self.polling.apply_settings(settings)
         self.endpoints.apply_settings(settings)
-        self._follow_endpoint_list(now)
+        self._apply_endpoint_list(now)
 
     def on_tenants(self, now_ns: int, changes: Sequence[tuple[int, Tenant]]) -> None:
-        """Tenants have changed."""
-        now = self._advance(now_ns)
+        """Apply changes of tenants."""
+        now = self._advance_clock(now_ns)
         self.tenants.update(changes, self.settings.replicas, now)
 
-    def _succeeding_classes(self, settings: Settings) -> list[TrafficClass]:
-        """The classes of other settings, with what has been learnt of those that keep their name."""
-        known = {
+    def _carry_over_classes(self, settings: Settings) -> list[TrafficClass]:
+        """The classes of new settings, with the statistics of the old classes of the same names."""
+        old_classes = {
             (item.name, item.idempotency): traffic_class
             for item, traffic_class in zip(self.settings.classes, self.classes, strict=True)
         }
-        names = {item.name for item in self.settings.classes}
+        old_names = {item.name for item in self.settings.classes}
         classes = []
         for item in settings.classes:
-            before = known.get((item.name, item.idempotency))
-            if before is None and item.name in names:
+            old_class = old_classes.get((item.name, item.idempotency))
+            if old_class is None and item.name in old_names:
                 raise ValueError(f"the idempotency of class {item.name!r} can't change")
             traffic_class = TrafficClass(item)
-            if before is not None:
-                traffic_class.learn_from(before)
+            if old_class is not None:
+                traffic_class.learn_from(old_class)
             classes.append(traffic_class)
         return classes
 
     # ---- The endpoint list -----------------------------------------------------------------------
 
     def on_endpoint_list(self, now_ns: int, kind: UpdateKind, entries: Sequence[EndpointEntry]) -> None:
-        """Discovery has sent changes or a snapshot, or a call of it has failed."""
-        now = self._advance(now_ns)
+        """Handle a delta or snapshot from discovery, or a failed discovery call."""
+        now = self._advance_clock(now_ns)
         if kind is UpdateKind.FAILED:
             self.polling.failed(now)
             return
-        changed = {entry.endpoint_id: self._learn(entry, now) for entry in entries}
+        changed = {entry.endpoint_id: self._update_endpoint(entry, now) for entry in entries}
         if kind is not UpdateKind.DELTA:
             missing = [
                 endpoint
@@ -144,33 +145,33 @@
             for endpoint in missing:
                 endpoint.state = EndpointState.GONE
                 changed[endpoint.endpoint_id] = endpoint
-        self.endpoints.forget_gone(changed.values())
+        self.endpoints.remove_gone(changed.values())
         self.endpoints.reindex(changed.values())
-        self._follow_endpoint_list(now)
+        self._apply_endpoint_list(now)
         if kind is UpdateKind.CACHED:
             self.polling.start(now)
         else:
             self.polling.succeeded()
 
-    def _learn(self, entry: EndpointEntry, now: int) -> Endpoint:
-        endpoint = self.endpoints.learn(entry)
+    def _update_endpoint(self, entry: EndpointEntry, now: int) -> Endpoint:
+        endpoint = self.endpoints.upsert(entry)
         if entry.started_ns and entry.started_ns != endpoint.started_at:
             self.slow_start.begin(endpoint, entry.started_ns, now)
         return endpoint
 
-    def _follow_endpoint_list(self, now: int) -> None:
-        """Have limits, attempts and waiting requests follow the indexed endpoints."""
+    def _apply_endpoint_list(self, now: int) -> None:
+        """Adjust limits and attempts to the indexed endpoints, and send queued requests."""
         for pool in self.endpoints.pools():
             self.limit.follow_endpoint_list(pool, now)
-        self.lifecycle.discount_unavailable()
-        self.lifecycle.release_waiting(now)
+        self.lifecycle.release_unavailable()
+        self.lifecycle.dispatch_queued(now)
 
     # ---- Requests --------------------------------------------------------------------------------
 
     def on_request(self, now_ns: int, incoming: IncomingRequest) -> None:
-        """A client's request has come."""
-        now = self._advance(now_ns)
-        self._check(incoming)
+        """Handle a request from a client."""
+        now = self._advance_clock(now_ns)
+        self._validate(incoming)
         quotas = self.tenants.quotas
         request = Request(
             incoming.request_id,
@@ -184,21 +185,21 @@
         self.lifecycle.admit(request, now)
 
     def on_response_started(self, now_ns: int, request_id: int, attempt: int) -> None:
-        """A streamed response has begun."""
-        self._advance(now_ns)
+        """Handle the start of a streamed response."""
+        self._advance_clock(now_ns)
         self.lifecycle.start_response(request_id, attempt)
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:
-        """An attempt has ended."""
-        self.lifecycle.end_attempt(result, self._advance(now_ns))
+        """Handle the end of an attempt."""
+        self.lifecycle.end_attempt(result, self._advance_clock(now_ns))
 
     def on_client_gone(self, now_ns: int, request_id: int) -> None:
-        """The client has left; nothing is owed any more."""
-        self._advance(now_ns)
+        """Handle the disconnect of a client, which needs no response any more."""
+        self._advance_clock(now_ns)
         self.lifecycle.abandon(request_id)
 
-    def _check(self, incoming: IncomingRequest) -> None:
-        """Raises ValueError for a request that the settings do not allow."""
+    def _validate(self, incoming: IncomingRequest) -> None:
+        """Raise ValueError for an unknown class or tenant, or for a request ID that is in use."""
         if not 0 <= incoming.class_index < len(self.classes):
             raise ValueError(f"class {incoming.class_index} is not one of the {len(self.classes)} classes")
         tenants = len(self.tenants.quotas)
@@ -208,10 +209,10 @@
             raise ValueError(f"request {incoming.request_id} is already open")
 
     def _is_over_quota(self, request: Request, now: int) -> bool:
-        """Whether a request is beyond this gateway's part of its tenant's quota.
+        """Whether a request exceeds this gateway's share of its tenant's quota.
 
-        Requests beyond a quota have little weight: they pass only while there is capacity, and are rejected
-        rather than queued.
+        Requests over quota have little weight: they are sent only if there is capacity at once, and are
+        otherwise rejected instead of queued.
         """
         tenant = request.tenant
         if tenant is None or self.settings.over_quota_weight >= 1.0:
@@ -221,26 +222,26 @@
     # ---- Other events ----------------------------------------------------------------------------
 
     def on_timer(self, now_ns: int, token: int) -> None:
-        """A timer has expired."""
-        now = self._advance(now_ns)
+        """Handle the expiry of a timer."""
+        now = self._advance_clock(now_ns)
         owner = self.timers.expire(token)
         if isinstance(owner, Request):
-            self.lifecycle.expire_wait(owner, now)
+            self.lifecycle.handle_request_timer(owner, now)
         elif isinstance(owner, Attempt):
-            self.lifecycle.expire_attempt(owner, now)
+            self.lifecycle.handle_attempt_timer(owner, now)
         elif owner is not None:
             owner.poll(now)
 
-    def on_health_checked(self, now_ns: int, result: HealthCheckResult) -> None:  # noqa: ARG002 - not needed
-        """A health check has ended; the balancer learns from attempts alone."""
-        self._advance(now_ns)
+    def on_health_checked(self, now_ns: int, result: HealthCheckResult) -> None:  # noqa: ARG002 - unused
+        """Ignore the result of a health check; estimates are based on attempts only."""
+        self._advance_clock(now_ns)
 
-    def on_gossip(self, now_ns: int, peer: int, content: bytes) -> None:  # noqa: ARG002 - not needed
-        """Another gateway has sent a message; gateways balance without."""
-        self._advance(now_ns)
+    def on_gossip(self, now_ns: int, peer: int, content: bytes) -> None:  # noqa: ARG002 - unused
+        """Ignore a gossip message; decisions do not depend on other gateways."""
+        self._advance_clock(now_ns)
 
-    def _advance(self, now_ns: int) -> int:
-        """The time of an event; it never goes back, whatever a caller's clock does."""
-        if now_ns > self._now:
-            self._now = now_ns
-        return self._now
+    def _advance_clock(self, now_ns: int) -> int:
+        """Advance the clock to the time of an event; it never goes back, even if the caller's clock does."""
+        if now_ns > self._now_ns:
+            self._now_ns = now_ns
+        return self._now_ns
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one endpoint, and of the pools that it draws endpoints from."""
+"""State of an endpoint and of the pools from which this gateway selects endpoints."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 __all__ = ["UNREPORTED_IN_FLIGHT", "Endpoint", "EndpointPool", "IndexKey"]
 
 UNREPORTED_IN_FLIGHT = 3.0
-"""Requests in flight that an endpoint is taken to have before its first load report."""
+"""Requests in flight assumed for an endpoint before its first load report."""
 
 
 class IndexKey(NamedTuple):
-    """Where an endpoint stands in the index."""
+    """Zone and cell under which the index lists an endpoint."""
 
     zone: int
     cell: int
 
 
 class Endpoint(DelayEstimate):
-    """One endpoint; its delay is that of this gateway's attempts, in ns."""
+    """State of one endpoint; its delay estimate covers this gateway's attempts, in ns."""
 
     __slots__ = (
         "broken_streak",
@@ -55,40 +55,40 @@
         self.weight = 1.0
         self.state = EndpointState.GONE
         self.ring_position = (crc32(name.encode()), name)
-        """Place in the order of all endpoints, which is the same at every gateway."""
+        """Sort key in the ring of all endpoints, the same at every gateway."""
         self.index_key: IndexKey | None = None
-        """Where the index lists it; None if it does not."""
+        """Zone and cell under which the index lists it; None if it is not listed."""
         self.started_at = 0
-        """When it last started; 0 where that is long past."""
+        """Time of its last start; 0 if that is long past."""
         self.in_flight = 0
-        """This gateway's attempts at it."""
+        """This gateway's attempts in flight at it."""
         self.discounted = 0
-        """Of these, attempts that no longer take capacity."""
+        """Attempts in flight at it that no longer count against the pool's capacity."""
 
     def clear(self) -> None:
-        """Forget all that was learnt: a restarted endpoint is another endpoint."""
+        """Reset all estimates: a restarted endpoint is treated as a new one."""
         super().clear()
         self.relative_latency = 1.0
-        """Smoothed latency, as a multiple of the mean latency of the requests' classes."""
+        """Smoothed ratio of its latency to the mean latency of the requests' classes."""
         self.mean_latency = 0.0
-        """Smoothed latency of responses with a load report, ns."""
+        """Smoothed latency of responses with a load report, in ns."""
         self.mean_reported_in_flight = 0.0
         self.reported_in_flight = UNREPORTED_IN_FLIGHT
-        """What its last load report said that it has in flight for all gateways."""
+        """Requests in flight for all gateways, from its last load report."""
         self.broken_streak = 0
-        """Attempts in a row that ended with a broken connection or an invalid response."""
+        """Consecutive attempts that ended with a broken connection or an invalid response."""
         self.last_was_rejection = False
-        """Whether the last attempt that it took or rejected was rejected."""
+        """Whether it rejected the last attempt that it accepted or rejected."""
         self.slow_start_until = 0
         self.slow_start_credit = 0.0
-        """Attempts that this gateway may send it now, while it is in slow start."""
+        """Attempts that this gateway may send now while the endpoint is in slow start."""
         self.credit_updated_at = 0
 
 
 class EndpointPool(DelayEstimate):
-    """The endpoints of the own zone, or of the other zones, that this gateway draws from.
+    """The endpoints of the own zone, or of the other zones, from which this gateway selects.
 
-    Its delay is in units of `PAPER_T1`.
+    The delay estimate is in units of `PAPER_T1`.
     """
 
     __slots__ = ("endpoints", "in_flight", "limit", "warm_size")
@@ -97,8 +97,8 @@
         super().__init__()
         self.endpoints: list[Endpoint] = []
         self.warm_size = 0.0
-        """Endpoints that the limit is for; one in slow start counts as far as it is warm."""
+        """Endpoints for which the limit is sized; one in slow start counts with its capacity share."""
         self.in_flight = 0
-        """Attempts at these endpoints; those at endpoints that have left count no more."""
+        """Attempts in flight that count against the limit; those at endpoints not ready are left out."""
         self.limit = 0.0
-        """Attempts in flight at most; 0 before the first endpoint list."""
+        """Maximum number of attempts in flight; 0 before the first endpoint list."""
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -1,7 +1,7 @@
-"""The endpoint list, indexed for selection, and the subset of it that this gateway draws from.
+"""Index of the endpoint list, and the subset of endpoints from which this gateway selects.
 
-All lists are in ring order, the same at every gateway: each draws from an arc of the ring that starts at a
-point of its own, which spreads the gateways evenly over the endpoints.
+All lists are in ring order, which is the same at every gateway. Each gateway selects from an arc of the ring
+with a start of its own, which spreads the gateways evenly over the endpoints.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 __all__ = ["EndpointIndex"]
 
-SUBSET_SHARES = 1.5
-"""Endpoints that a gateway draws from, in fair shares of all."""
-MIN_SUBSET = 2
-"""Endpoints that a gateway draws from at least: a choice of two needs some to choose from."""
+SUBSET_FACTOR = 1.5
+"""Size of a gateway's subset, as a multiple of the number of endpoints per gateway."""
+MIN_SUBSET_SIZE = 2
+"""Minimum size of a gateway's subset: power of two choices needs two endpoints."""
 REBUILD_FACTOR = 8
-"""One part in so many of the endpoints has to change for the lists to be built anew in one go."""
+"""The lists are rebuilt as a whole if at least one in this many endpoints has changed."""
 GOLDEN_RATIO = 0.6180339887498949
-"""Multiples of it, modulo 1, spread any number of gateways evenly over the ring."""
+"""Multiples of it modulo 1 spread any number of gateways evenly over the ring."""
 
 _ring_position = attrgetter("ring_position")
 
 
 class EndpointIndex:
-    """All listed endpoints, by identity, zone and cell."""
+    """Index of all listed endpoints by ID, zone and cell."""
 
     def __init__(self, settings: Settings) -> None:
         self._zone = settings.zone
@@ -39,20 +39,20 @@
         self.by_id: dict[EndpointId, Endpoint] = {}
         self.ready_by_zone: list[list[Endpoint]] = [[] for _ in range(settings.zones)]
         self.ready_remote: list[Endpoint] = []
-        """Ready endpoints of all zones but the own."""
+        """Ready endpoints of the other zones."""
         self.ready_by_cell: dict[int, list[Endpoint]] = {}
         self.local_pool = EndpointPool()
         self.remote_pool = EndpointPool()
         self.per_gateway = 1.0
-        """Ready endpoints for each gateway."""
+        """Number of ready endpoints per gateway."""
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Replace the settings."""
         self._replicas = settings.replicas
         self.reindex(())
 
-    def learn(self, entry: EndpointEntry) -> Endpoint:
-        """The endpoint of an entry, brought up to date; its lists follow with `reindex`."""
+    def upsert(self, entry: EndpointEntry) -> Endpoint:
+        """Update or add the endpoint of an entry; `reindex` then updates the lists."""
         endpoint = self.by_id.get(entry.endpoint_id)
         if endpoint is None:
             endpoint = self.by_id[entry.endpoint_id] = Endpoint(entry)
@@ -62,20 +62,20 @@
         endpoint.weight = entry.weight if entry.weight > 0 else 1.0
         return endpoint
 
-    def forget_gone(self, changed: Iterable[Endpoint]) -> None:
-        """Drop the endpoints that are gone, as new identities may come without end.
+    def remove_gone(self, changed: Iterable[Endpoint]) -> None:
+        """Remove the endpoints that are gone, as the number of different IDs over time is unbounded.
 
-        Attempts in flight refer to their endpoint by themselves. One that comes back is a new endpoint, in
-        slow start if its entry says so.
+        Attempts in flight keep a reference to their endpoint. An endpoint that returns is a new one, in slow
+        start if its entry has a start time.
         """
         for endpoint in changed:
             if endpoint.state is EndpointState.GONE:
                 del self.by_id[endpoint.endpoint_id]
 
     def reindex(self, changed: Collection[Endpoint]) -> None:
-        """Bring the lists up to date after a change of the endpoint list.
+        """Update the lists after a change of the endpoint list.
 
-        A few changes cost what they are, many at once a sort of all endpoints.
+        A few changes are applied one by one; for many, all endpoints are sorted again.
         """
         if REBUILD_FACTOR * len(changed) < len(self.by_id):
             for endpoint in changed:
@@ -89,11 +89,11 @@
         self.remote_pool.endpoints = self._subset(self.ready_remote)
 
     def pool_of(self, endpoint: Endpoint) -> EndpointPool:
-        """The pool that an endpoint counts for."""
+        """The pool that an endpoint belongs to by its zone."""
         return self.local_pool if endpoint.zone == self._zone else self.remote_pool
 
     def pools(self) -> tuple[EndpointPool, EndpointPool]:
-        """The pool of the own zone and that of the others."""
+        """The pools of the own zone and of the other zones."""
         return self.local_pool, self.remote_pool
 
     def _rebuild(self) -> None:
@@ -103,14 +103,14 @@
         for endpoint in sorted(self.by_id.values(), key=_ring_position):
             self._add(endpoint, list.append)
 
-    def _add(self, endpoint: Endpoint, add: Callable[[list[Endpoint], Endpoint], None]) -> None:
+    def _add(self, endpoint: Endpoint, insert: Callable[[list[Endpoint], Endpoint], None]) -> None:
         is_ready = endpoint.state is EndpointState.READY and endpoint.zone < len(self.ready_by_zone)
         endpoint.index_key = IndexKey(endpoint.zone, endpoint.cell) if is_ready else None
         if is_ready:
-            add(self.ready_by_zone[endpoint.zone], endpoint)
-            add(self.ready_by_cell.setdefault(endpoint.cell, []), endpoint)
+            insert(self.ready_by_zone[endpoint.zone], endpoint)
+            insert(self.ready_by_cell.setdefault(endpoint.cell, []), endpoint)
             if endpoint.zone != self._zone:
-                add(self.ready_remote, endpoint)
+                insert(self.ready_remote, endpoint)
 
     def _remove(self, endpoint: Endpoint) -> None:
         if endpoint.index_key is None:
@@ -124,8 +124,11 @@
             _remove_in_order(self.ready_remote, endpoint)
 
     def _subset(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """The arc of the ring that this gateway draws from, so that its own attempts in flight mean more."""
-        size = max(MIN_SUBSET, ceil(SUBSET_SHARES * self.per_gateway))
+        """The arc of the ring from which this gateway selects.
+
+        With fewer endpoints, its own attempts in flight say more about the load of each.
+        """
+        size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.per_gateway))
         if size >= len(endpoints):
             return list(endpoints)
         start = int((self._instance_number * GOLDEN_RATIO) % 1.0 * len(endpoints))
@@ -138,6 +141,6 @@
 
 def _remove_in_order(endpoints: list[Endpoint], endpoint: Endpoint) -> None:
     position = bisect_left(endpoints, endpoint.ring_position, key=_ring_position)
-    while endpoints[position] is not endpoint:  # two identities may have the same representation
+    while endpoints[position] is not endpoint:  # two IDs may have the same repr
         position += 1
     del endpoints[position]
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -122,7 +122,7 @@
         """
 
     def on_response_started(self, now_ns: int, request_id: int, attempt: int) -> None:
-        """Handle the start of a streamed response, which binds the request to the attempt and ends its deadline."""
+        """Handle the start of a streamed response, binding the request to its attempt with no deadline."""
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:
         """Handle the end of an attempt."""
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -1,4 +1,4 @@
-"""The records of a request that is owed a final response, and of its attempts."""
+"""State of a request without a final response yet, and of its attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Request:
-    """A request that this gateway owes a final response."""
+    """State of a request from its arrival to its final response."""
 
     __slots__ = (
         "arrived_at",
@@ -18,7 +18,6 @@
         "attempts_in_flight",
         "cost_hint",
         "deadline",
-        "due_at",
         "first_endpoint",
         "first_sent_at",
         "gap_count",
@@ -33,6 +32,7 @@
         "t1",
         "tenant",
         "traffic_class",
+        "wait_ends_at",
     )
 
     def __init__(
@@ -50,7 +50,7 @@
         self.objective_ns = traffic_class.latency_objective_ns + int(
             traffic_class.objective_cost_factor * cost_hint
         )
-        # Where a response past the objective has no weight, work past it is waste: it is the deadline.
+        # If a late response has no weight, work after the objective is wasted: the objective is the deadline.
         late_response_counts = traffic_class.late_weight or traffic_class.is_streaming
         self.deadline = arrived_at + (
             timeout_ns if late_response_counts else min(timeout_ns, self.objective_ns)
@@ -59,33 +59,33 @@
         self.tenant = tenant
         self.is_over_quota = False
         self.t1 = 0
-        """The paper's T1 for this request, ns: the first gap between two attempts."""
+        """First gap between two attempts, in nanoseconds (T1 in the paper)."""
         self.attempt_count = 0
         self.gap_count = 0
-        """Gaps waited so far; each is twice as long as the one before."""
-        self.due_at = 0
-        """When the current wait, in the queue or for a gap, is over."""
+        """Number of gaps begun; each is twice as long as the one before."""
+        self.wait_ends_at = 0
+        """When the current wait ends, in the queue or for a gap."""
         self.last_sent_at = 0
         self.last_endpoint: Endpoint | None = None
         self.first_endpoint: Endpoint | None = None
-        """Endpoint of the first attempt that may have been processed."""
+        """Endpoint of the first attempt that may have been processed; None if there is none."""
         self.first_sent_at = 0
         self.attempts_in_flight: set[int] = set()
         self.is_streaming = False
-        """Whether its response has begun, which binds it to one attempt and ends its deadline."""
+        """Whether a streamed response has begun, which binds the request to its attempt without deadline."""
         self.is_queued = False
         self.is_done = False
 
     def expected_latency(self, deviations: float) -> float:
-        """Its latency in ns, so many deviations from its class's mean; 0 before any response."""
+        """Expected latency in ns: class mean plus these deviations, times cost; 0 before any response."""
         traffic_class = self.traffic_class
         return (traffic_class.mean + deviations * traffic_class.deviation) * (self.cost_hint or 1)
 
 
 class Attempt:
-    """An attempt in flight. It outlives its request, as its end is still evidence about the endpoint."""
+    """An attempt in flight; it may outlive its request, as its outcome still tells about the endpoint."""
 
-    __slots__ = ("endpoint", "is_discounted", "is_overdue", "number", "pool", "request")
+    __slots__ = ("endpoint", "has_released_capacity", "is_overdue", "number", "pool", "request")
 
     def __init__(self, request: Request, number: int, endpoint: Endpoint, pool: EndpointPool) -> None:
         self.request = request
@@ -93,21 +93,21 @@
         self.endpoint = endpoint
         self.pool = pool
         self.is_overdue = False
-        """Whether it has counted as a failure of its endpoint before its end."""
-        self.is_discounted = False
-        """Whether it no longer takes capacity."""
+        """Whether it was counted as a failure of its endpoint while in flight."""
+        self.has_released_capacity = False
+        """Whether it no longer counts against the capacity of its pool."""
 
-    def discount(self) -> None:
-        """Take no more capacity: its endpoint accepts nothing new, or does not respond."""
-        if not self.is_discounted:
-            self.is_discounted = True
+    def release_capacity(self) -> None:
+        """Stop counting against the pool's capacity: its endpoint is not ready, or does not respond."""
+        if not self.has_released_capacity:
+            self.has_released_capacity = True
             self.pool.in_flight -= 1
             self.endpoint.discounted += 1
 
     def leave_endpoint(self) -> None:
-        """Count it out of its endpoint and pool, once it has ended."""
+        """Remove the ended attempt from the counts of its endpoint and pool."""
         self.endpoint.in_flight -= 1
-        if self.is_discounted:
+        if self.has_released_capacity:
             self.endpoint.discounted -= 1
         else:
             self.pool.in_flight -= 1
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: admission, waiting for capacity, attempts, retries, and its one final response."""
+"""Request lifecycle: admission, queueing for capacity, attempts, retries and the one final response."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 __all__ = ["RequestLifecycle"]
 
 MAX_QUEUE_SHARE = 0.5
-"""Share of its latency objective for which a request waits for capacity at most."""
+"""Longest time that a request waits for capacity, as a share of its latency objective."""
 
 
 class RequestLifecycle:
-    """The open requests and the attempts in flight of one gateway."""
+    """Manages the open requests and the attempts in flight of one gateway."""
 
     def __init__(
         self,
@@ -53,41 +53,41 @@
         self._wait_queue = wait_queue
         self._feedback = feedback
         self.requests: dict[int, Request] = {}
-        """Requests that are owed a final response, by their number."""
+        """Requests without a final response yet, by request ID."""
         self.attempts: dict[tuple[int, int], Attempt] = {}
-        """Attempts in flight, by the numbers of their request and their own."""
+        """Attempts in flight, by request ID and attempt number."""
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Replace the settings."""
         self._settings = settings
 
-    # ---- Admission and waiting -------------------------------------------------------------------
+    # ---- Admission and queueing ------------------------------------------------------------------
 
     def admit(self, request: Request, now: int) -> None:
-        """A request has come: send it, have it wait, or end it."""
+        """Admit a new request: send it, queue it, or end it at once."""
         request.t1 = self._retries.t1(request)
         self.requests[request.request_id] = request
-        self.release_waiting(now)
-        # The backstop: whatever else goes wrong, the client gets a response before its deadline.
+        self.dispatch_queued(now)
+        # Ensures a response before the deadline even if no other event ends the request.
         self._timers.set(request, request.deadline - now - self._settings.tick_ns)
         if self._load_shedder.is_hopeless(request, now):
-            self._end(request, EndReason.INSUFFICIENT_TIME)
+            self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
             return
-        # Nobody overtakes the requests that wait.
+        # Queued requests come first: a new one is not sent while others wait.
         endpoint = None if len(self._wait_queue) else self._selector.for_original(request, now)
         if endpoint is not None:
             self._send(request, endpoint, now)
         elif request.is_over_quota:
-            self._end(request, EndReason.QUOTA_EXCEEDED)
+            self._fail_or_reject(request, EndReason.QUOTA_EXCEEDED)
         else:
-            self._wait_for_capacity(request, now)
+            self._enqueue(request, now)
 
-    def release_waiting(self, now: int) -> None:
-        """Send the requests that wait, as far as there is capacity now."""
+    def dispatch_queued(self, now: int) -> None:
+        """Send queued requests while there is capacity."""
         while (request := self._wait_queue.first()) is not None:
             if self._load_shedder.is_hopeless(request, now):
                 self._wait_queue.discard(request)
-                self._end(request, EndReason.INSUFFICIENT_TIME)
+                self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
                 continue
             endpoint = self._selector.for_original(request, now)
             if endpoint is None:
@@ -95,15 +95,15 @@
             self._wait_queue.discard(request)
             self._send(request, endpoint, now)
 
-    def _wait_for_capacity(self, request: Request, now: int) -> None:
-        """Wait for a response that frees capacity, as long as the request can still be in time."""
+    def _enqueue(self, request: Request, now: int) -> None:
+        """Queue a request until an ended attempt frees capacity, or until it could hardly be in time."""
         latest = request.arrived_at + int(MAX_QUEUE_SHARE * request.objective_ns)
-        request.due_at = min(latest, request.deadline - self._settings.tick_ns)
+        request.wait_ends_at = min(latest, request.deadline - self._settings.tick_ns)
         self._wait_queue.add(request, self._priority(request))
-        self._timers.set(request, request.due_at - now)
+        self._timers.set(request, request.wait_ends_at - now)
 
     def _priority(self, request: Request) -> float:
-        """The request's weight for each unit of its work."""
+        """Priority weight per second of expected work; only the weight where that already grows with work."""
         traffic_class = request.traffic_class
         if self._settings.weight_by_work:
             return traffic_class.priority_weight
@@ -113,34 +113,34 @@
     # ---- Attempts --------------------------------------------------------------------------------
 
     def start_response(self, request_id: int, attempt: int) -> None:
-        """A streamed response has begun."""
+        """Handle the start of a streamed response."""
         request = self.requests.get(request_id)
         if request is not None and attempt in request.attempts_in_flight:
             request.is_streaming = True
 
     def end_attempt(self, result: AttemptResult, now: int) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         attempt = self.attempts.pop((result.request_id, result.attempt), None)
         if attempt is None:
             return
         attempt.leave_endpoint()
         attempt.request.attempts_in_flight.discard(result.attempt)
         outcome = self._feedback.record_outcome(attempt, result, now)
-        self._follow_outcome(attempt, outcome, result.is_final, now)
-        self.release_waiting(now)
+        self._handle_outcome(attempt, outcome, result.is_final, now)
+        self.dispatch_queued(now)
 
-    def discount_unavailable(self) -> None:
-        """The endpoint list has changed: attempts at endpoints that are not ready take no more capacity."""
+    def release_unavailable(self) -> None:
+        """Release the capacity of attempts at endpoints that are no longer ready."""
         for attempt in self.attempts.values():
             if attempt.endpoint.state is not EndpointState.READY:
-                attempt.discount()
+                attempt.release_capacity()
 
-    def expire_attempt(self, attempt: Attempt, now: int) -> None:
-        """An attempt without a timeout has been in flight for T1, which speaks against its endpoint.
+    def handle_attempt_timer(self, attempt: Attempt, now: int) -> None:
+        """Count an attempt without a timeout that has been in flight for T1 as a failure of its endpoint.
 
-        A silent endpoint could otherwise go on taking requests that may not be repeated. Where the endpoint
-        has failed before, its attempts no longer take capacity, or a few silent endpoints would use up a
-        small limit.
+        Otherwise an unresponsive endpoint would keep receiving requests that may not be retried. If the
+        endpoint has failed before, the attempt's capacity is released; otherwise a few unresponsive endpoints
+        would use up a small limit.
         """
         request = attempt.request
         if attempt.number not in request.attempts_in_flight or request.is_streaming:
@@ -148,12 +148,12 @@
         self._feedback.record_overdue(request, attempt.endpoint, now)
         attempt.is_overdue = True
         if attempt.endpoint.failure_share > MAX_FAILURE_SHARE:
-            attempt.discount()
-            self.release_waiting(now)
+            attempt.release_capacity()
+            self.dispatch_queued(now)
 
     def _send(self, request: Request, endpoint: Endpoint, now: int) -> None:
         if not self._rules.may_send(request, endpoint, now):
-            self._end(request, EndReason.ATTEMPT_FORBIDDEN)
+            self._fail_or_reject(request, EndReason.ATTEMPT_FORBIDDEN)
             return
         attempt = self._start_attempt(request, endpoint, now)
         timeout = self._retries.attempt_timeout(request, now)
@@ -163,7 +163,7 @@
             self._timers.set(attempt, request.t1)
 
     def _start_attempt(self, request: Request, endpoint: Endpoint, now: int) -> Attempt:
-        """Record an attempt, and take its capacity, quota and credit."""
+        """Record a new attempt and charge its capacity, tenant quota and slow-start credit."""
         number = request.attempt_count
         pool = self._endpoints.pool_of(endpoint)
         attempt = self.attempts[request.request_id, number] = Attempt(request, number, endpoint, pool)
@@ -181,78 +181,78 @@
             endpoint.slow_start_credit -= 1.0
         return attempt
 
-    def _follow_outcome(self, attempt: Attempt, outcome: Outcome, is_final: bool, now: int) -> None:
-        """End the request of an attempt that has ended, or plan its retry."""
+    def _handle_outcome(self, attempt: Attempt, outcome: Outcome, is_final: bool, now: int) -> None:
+        """End the request of an attempt that has ended, or schedule a retry."""
         request = attempt.request
         if is_final:
             in_time = outcome is Outcome.OK and now <= request.arrived_at + request.objective_ns
-            self._close(request, missed_objective=not in_time)
+            self._mark_done(request, missed_objective=not in_time)
         if request.is_done:
             return
         if outcome in NOT_PROCESSED:
-            _forget_unprocessed(request, attempt.endpoint)
+            _clear_first_endpoint(request, attempt.endpoint)
         if request.is_streaming or request.attempts_in_flight:
             return
         if outcome is Outcome.BAD_REQUEST:
-            # At once, and not as a rejection: the same request would fare no better.
-            self._close(request, missed_objective=False)
+            # Failed at once and not rejected: sending the same request again would not succeed.
+            self._mark_done(request, missed_objective=False)
             self._actions.fail(request.request_id, EndReason.BAD_REQUEST)
             return
         is_repeatable = request.traffic_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if not is_repeatable and request.first_endpoint is not None:
-            self._end(request, EndReason.NOT_RETRYABLE)
+            self._fail_or_reject(request, EndReason.NOT_RETRYABLE)
             return
-        self._plan_retry(request, request.last_sent_at + self._retries.next_gap(request), now)
+        self._schedule_retry(request, request.last_sent_at + self._retries.next_gap(request), now)
 
     # ---- Retries ---------------------------------------------------------------------------------
 
-    def expire_wait(self, request: Request, now: int) -> None:
-        """A timer of a request: its wait or its gap is over, or its deadline is near."""
+    def handle_request_timer(self, request: Request, now: int) -> None:
+        """Handle a timer of a request: its wait or gap is over, or its deadline is near."""
         if request.is_done or request.is_streaming:
             return
-        if request.is_queued and now >= request.due_at:
-            self._end(request, EndReason.QUEUE_TIMEOUT)
+        if request.is_queued and now >= request.wait_ends_at:
+            self._fail_or_reject(request, EndReason.QUEUE_TIMEOUT)
         elif now >= request.deadline - self._settings.tick_ns:
-            self._end(request, EndReason.DEADLINE_EXCEEDED)
-        elif not request.attempts_in_flight and not request.is_queued and now >= request.due_at:
+            self._fail_or_reject(request, EndReason.DEADLINE_EXCEEDED)
+        elif not request.attempts_in_flight and not request.is_queued and now >= request.wait_ends_at:
             self._retry(request, now)
 
-    def _plan_retry(self, request: Request, due_at: int, now: int) -> None:
-        """Retry when the gap is over, or end the request if it may not be, or would come too late."""
+    def _schedule_retry(self, request: Request, retry_at: int, now: int) -> None:
+        """Schedule a retry, or end the request if no attempt is left or the retry would come too late."""
         if request.attempt_count >= self._settings.limits.max_attempts:
-            self._end(request, EndReason.ATTEMPTS_EXHAUSTED)
+            self._fail_or_reject(request, EndReason.ATTEMPTS_EXHAUSTED)
             return
-        if due_at >= request.deadline - self._settings.tick_ns:
-            self._end(request, EndReason.RETRY_TIMEOUT)
+        if retry_at >= request.deadline - self._settings.tick_ns:
+            self._fail_or_reject(request, EndReason.RETRY_TIMEOUT)
             return
-        request.due_at = due_at
-        if due_at <= now:
+        request.wait_ends_at = retry_at
+        if retry_at <= now:
             self._retry(request, now)
         else:
-            self._timers.set(request, due_at - now)
+            self._timers.set(request, retry_at - now)
 
     def _retry(self, request: Request, now: int) -> None:
-        """The gap is over: send the request to an endpoint that the gate lets it pass to, or wait a gap."""
+        """Send a retry to an endpoint whose retry gate it passes, or wait for another gap."""
         endpoint = self._retries.select_endpoint(request, now)
         if endpoint is not None:
             self._send(request, endpoint, now)
         else:
-            self._plan_retry(request, now + self._retries.next_gap(request), now)
+            self._schedule_retry(request, now + self._retries.next_gap(request), now)
 
     # ---- The end ---------------------------------------------------------------------------------
 
     def abandon(self, request_id: int) -> None:
-        """The client has left and needs no response any more."""
+        """Drop a request whose client has disconnected, and cancel its attempts."""
         request = self.requests.get(request_id)
         if request is not None:
-            self._close(request, missed_objective=True)
+            self._mark_done(request, missed_objective=True)
             self._cancel_attempts(request)
 
-    def _end(self, request: Request, reason: EndReason) -> None:
-        """Give the one final response, without one of an endpoint."""
+    def _fail_or_reject(self, request: Request, reason: EndReason) -> None:
+        """Send the final response without one from an endpoint: a rejection if permitted, else a failure."""
         if request.is_done or request.is_streaming:
             return
-        self._close(request, missed_objective=True)
+        self._mark_done(request, missed_objective=True)
         self._cancel_attempts(request)
         if self._rules.may_reject(request):
             retry_after = request.t1 if self._settings.limits.retry_after else 0
@@ -260,7 +260,7 @@
         else:
             self._actions.fail(request.request_id, reason)
 
-    def _close(self, request: Request, missed_objective: bool) -> None:
+    def _mark_done(self, request: Request, missed_objective: bool) -> None:
         request.is_done = True
         self._load_shedder.record(request, missed_objective)
         self._wait_queue.discard(request)
@@ -272,8 +272,8 @@
                 self._actions.cancel_attempt(request.request_id, number)
 
 
-def _forget_unprocessed(request: Request, endpoint: Endpoint) -> None:
-    """The last attempt is known not to have been processed: if it was the first, nothing is bound to it."""
+def _clear_first_endpoint(request: Request, endpoint: Endpoint) -> None:
+    """Clear the first endpoint if the last attempt, which was not processed, was also the first."""
     was_first = request.first_endpoint is endpoint and request.first_sent_at == request.last_sent_at
     if was_first and not request.attempts_in_flight:
         request.first_endpoint = None
