--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -1,8 +1,8 @@
-"""When discovery is polled for the endpoint list, where the settings have the gateway do so.
+"""Schedules the discovery calls that poll for the endpoint list, if the settings enable polling.
 
-A gateway that misses a change of the list sends work to draining endpoints, and discovery has little
-capacity: calls of all gateways are spread over time, and failed calls back off without exceeding the time
-after which a change counts as notified.
+A gateway that misses a change sends requests to draining endpoints, but discovery has little capacity. So the
+calls of all gateways are spread over time, and the backoff after a failed call stays below the time after
+which a change counts as notified.
 """
 
 from __future__ import annotations
@@ -15,26 +15,31 @@
 __all__ = ["DiscoveryPolling"]
 
 SPREAD_SHARE = 0.5
-"""Share of the polling interval over which calls are spread, so that gateways do not queue up,"""
-SPREAD_REPLICAS = 32
-"""with so many gateways; fewer queue up less, and a list from before a start may be old."""
+"""Share of the polling interval over which first calls are spread, to avoid a queue at discovery."""
+FULL_SPREAD_REPLICAS = 32
+"""Number of gateways from which calls are spread in full.
+
+Fewer gateways need less, and should call soon, as a list cached before the start may be old.
+"""
 MAX_BACKOFF_SHARE = 0.5
-"""Longest backoff, as a share of the polling interval."""
+"""Maximum backoff, as a share of the polling interval."""
 FIRST_BACKOFF_SHARE = 0.1
-"""First backoff, as a share of the polling interval."""
-REWATCH_SPREAD = SECOND
-"""Calls after watches that broke are spread over so much at most, ns: what they miss counts as notified 6 s
-later, and silence is noticed after half of that."""
-NOTIFIED_AFTER = 6 * SECOND
-"""Whatever fails, a change counts as notified so long after discovery had it and could be reached, ns."""
-CALL_TURN = 2 * SECOND
-"""Part of that time that is left for the next call to wait its turn, ns."""
+"""Minimum first backoff, as a share of the polling interval."""
+REWATCH_SPREAD_NS = SECOND
+"""Maximum time over which calls after broken watches are spread, in ns.
+
+A change missed meanwhile counts as notified 6 s later, and a silent watch is noticed only after half of that.
+"""
+NOTIFIED_AFTER_NS = 6 * SECOND
+"""Time in ns after which a change counts as notified, once discovery has it and can be reached."""
+CALL_QUEUEING_NS = 2 * SECOND
+"""Part of `NOTIFIED_AFTER_NS` reserved for the next call to wait in the queue of discovery, in ns."""
 
 
 class DiscoveryPolling:
-    """The state of the watch, and the backoff between calls.
+    """Tracks the state of the watch and the backoff between calls.
 
-    `watch` begins a call of discovery; `call_later` has `poll` called after a delay in ns.
+    `watch` starts a discovery call; `call_later` schedules a call of `poll` after a delay in ns.
     """
 
     def __init__(
@@ -50,39 +55,39 @@
         self._is_enabled = settings.poll_discovery
         self._is_watching = False
         self._is_missing_changes = False
-        """Whether a watch has broken and no list has come since."""
+        """Whether a watch has broken and no list was received since."""
         self._missing_since = 0
-        """Since when changes may have been missed: the start, or the end of a watch."""
+        """Time since which changes may have been missed: the start, or the end of a watch."""
         self._called_at = 0
         self._backoff_ns = 0.0
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Replace the settings."""
         self._interval_ns = settings.rules.poll_interval_ns
-        # The first call may be one that fails, and is left time to be repeated.
-        share = SPREAD_SHARE * min(1.0, settings.replicas / SPREAD_REPLICAS)
-        self._spread_ns = min(share * self._interval_ns, NOTIFIED_AFTER - REWATCH_SPREAD)
+        # Leaves time to repeat the first call if it fails.
+        share = SPREAD_SHARE * min(1.0, settings.replicas / FULL_SPREAD_REPLICAS)
+        self._spread_ns = min(share * self._interval_ns, NOTIFIED_AFTER_NS - REWATCH_SPREAD_NS)
 
     def start(self, now: int) -> None:
-        """The list is a cached one from before the start of the gateway."""
+        """Schedule the first call; the gateway has only a cached list from before its start."""
         self._missing_since = now
         if self._is_enabled:
             self._call_later(int(self._random() * self._spread_ns))
 
     def succeeded(self) -> None:
-        """A call has brought the list or changes of it, and its watch stands."""
+        """Handle a successful call: a list or delta was received, and its watch is active."""
         self._is_watching = True
         self._is_missing_changes = False
         self._backoff_ns = 0.0
 
     def failed(self, now: int) -> None:
-        """A call has failed or a watch has broken: call again later.
+        """Schedule the next call after a failed call or a broken watch.
 
-        The backoff doubles and is drawn at random, the wider the more gateways there are: calls that fail
-        together would come again together, and discovery works at each for some time before it fails. A
-        watch that broke is no failed call, and is followed by another one soon, as endpoints may drain
-        meanwhile. If that call fails too its backoff begins as small: what was missed may long count as
+        The backoff doubles and is randomized, over a wider range with more gateways: calls that fail together
+        would otherwise be repeated together, and discovery spends time on each of them before it fails. A
+        broken watch is not a failed call: the next call follows soon, as endpoints may start to drain in the
+        meantime. If that call fails too, its backoff starts as small, as missed changes may already count as
         notified.
         """
         was_watching, self._is_watching = self._is_watching, False
@@ -90,27 +95,29 @@
             return
         if was_watching:
             self._is_missing_changes, self._missing_since = True, now
-            self._call_later(int(self._random() * min(REWATCH_SPREAD, self._spread_ns)))
+            self._call_later(int(self._random() * min(REWATCH_SPREAD_NS, self._spread_ns)))
         else:
             self._call_later(int(self._random() * self._next_backoff(now)))
 
     def poll(self, now: int) -> None:
-        """The delay is over."""
+        """Call discovery after the delay unless a watch is active."""
         if not self._is_watching:
             self._called_at = now
             self._watch()
 
     def _next_backoff(self, now: int) -> float:
-        """The longest wait before the next call, ns.
+        """The maximum delay before the next call, in ns.
 
-        None goes on past the time at which what discovery has meanwhile counts as notified, less the next
-        call's turn: the longer a call took to fail, the sooner the next one.
+        The delay ends `CALL_QUEUEING_NS` before changes that discovery may have by now count as notified: the
+        longer a call took to fail, the sooner the next one follows.
         """
         first = max(FIRST_BACKOFF_SHARE * self._interval_ns, self._spread_ns)
         if self._is_missing_changes:
-            first = REWATCH_SPREAD
+            first = REWATCH_SPREAD_NS
         self._backoff_ns = min(max(2 * self._backoff_ns, first), MAX_BACKOFF_SHARE * self._interval_ns)
-        # Discovery may have been there since the last list, or since just after the failed call began.
-        is_recent = now < self._missing_since + NOTIFIED_AFTER
+        # Discovery may have been reachable since the last list, or since just after the failed call began.
+        is_recent = now < self._missing_since + NOTIFIED_AFTER_NS
         since = self._missing_since if is_recent else self._called_at
-        return min(self._backoff_ns, max(REWATCH_SPREAD, since + NOTIFIED_AFTER - CALL_TURN - now))
+        return min(
+            self._backoff_ns, max(REWATCH_SPREAD_NS, since + NOTIFIED_AFTER_NS - CALL_QUEUEING_NS - now)
+        )
--- a/balancer/endpoint_list.py
+++ b/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery publishes it."""
+"""Types of the endpoint list as published by discovery."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 __all__ = ["EndpointEntry", "EndpointId", "EndpointState", "UpdateKind"]
 
 EndpointId = Hashable
-"""An endpoint's identity. It is compared and given back unchanged, and otherwise opaque."""
+"""Opaque ID of an endpoint; it is only compared and passed back unchanged."""
 
 
 class EndpointState(IntEnum):
-    """What discovery says of an endpoint."""
+    """State of an endpoint according to discovery."""
 
     GONE = 0
     READY = 1
@@ -21,16 +21,16 @@
 
 
 class UpdateKind(IntEnum):
-    """What an event of discovery brings."""
+    """Content of a discovery event."""
 
     DELTA = 0
-    """The entries that have changed."""
+    """Only the changed entries."""
     SNAPSHOT = 1
     """All entries."""
     CACHED = 2
-    """All entries as they were known before the start of the gateway."""
+    """All entries as known before the gateway started."""
     FAILED = 3
-    """Nothing: a call has failed or a watch has broken."""
+    """No entries: a call has failed or a watch has broken."""
 
 
 class EndpointEntry(NamedTuple):
@@ -43,4 +43,4 @@
     state: EndpointState
     weight: float = 1.0
     started_ns: int = 0
-    """When it last started, on the balancer's clock; 0 where that is long past."""
+    """Time of its last start on the balancer's clock; 0 if that is long past."""
--- a/balancer/idempotency.py
+++ b/balancer/idempotency.py
@@ -1,4 +1,4 @@
-"""What repeating a request does, and which endpoints recognize a repeated one."""
+"""Idempotency of requests, and the scope in which endpoints deduplicate them."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class does (RFC 9110, 9.2)."""
+    """Effect of repeating a request of a class (RFC 9110, section 9.2)."""
 
     SAFE = "safe"
-    """It changes nothing at the endpoint."""
+    """The request changes no state at the endpoint."""
     IDEMPOTENCY_KEY = "idempotency key"
-    """Endpoints recognize it by its key, for a time and within a scope."""
+    """Endpoints recognize a repeated request by its key, within a scope and a time window."""
     NON_IDEMPOTENT = "non-idempotent"
-    """Its effect is repeated."""
+    """A repeated request takes effect again."""
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints recognize a request with the idempotency key of an earlier one."""
+    """Endpoints that recognize the idempotency key of an earlier attempt."""
 
     ALL = "all"
     ZONE = "zone"
-    """Those of the zone of the first attempt."""
+    """Endpoints in the zone of the first attempt."""
     CELL = "cell"
-    """Those of the cell of the first attempt."""
+    """Endpoints in the cell of the first attempt."""
--- a/balancer/protocol_rules.py
+++ b/balancer/protocol_rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules for attempts and rejections; every attempt and every final response passes here."""
+"""The operators' rules for attempts and rejections, checked for each attempt and final response."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class ProtocolRules:
-    """What the settings allow."""
+    """Checks attempts and rejections against the settings."""
 
     def __init__(self, settings: Settings, slow_start: SlowStart) -> None:
         self._slow_start = slow_start
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Replace the settings."""
         self._max_attempts = settings.limits.max_attempts
         self._allows_hedging = settings.limits.hedging
         self._tick_ns = settings.tick_ns
 
     def may_send(self, request: Request, endpoint: Endpoint, now: int) -> bool:
-        """Whether an attempt of this request may be sent to this endpoint now."""
+        """Whether an attempt of the request may be sent to the endpoint now."""
         if request.is_done or request.is_streaming or endpoint.state is not EndpointState.READY:
             return False
         if request.attempt_count >= self._max_attempts or now >= request.deadline:
@@ -39,7 +39,7 @@
         return endpoint.slow_start_until <= now or self._slow_start.has_credit(endpoint, now)
 
     def may_reject(self, request: Request) -> bool:
-        """Whether a rejection may say that sending the request again is harmless."""
+        """Whether the request may be rejected, which tells the client that it may safely send it again."""
         traffic_class = request.traffic_class
         if traffic_class.idempotency is Idempotency.SAFE or request.first_endpoint is None:
             return True
@@ -49,7 +49,7 @@
         )
 
     def _may_repeat(self, request: Request, first: Endpoint, endpoint: Endpoint, now: int) -> bool:
-        """Whether a request that the first endpoint may have processed may be sent to this one."""
+        """Whether a request that `first` may have processed may also be sent to `endpoint`."""
         traffic_class = request.traffic_class
         if traffic_class.idempotency is Idempotency.SAFE:
             return True
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -72,7 +72,7 @@
         self.first_sent_at = 0
         self.attempts_in_flight: set[int] = set()
         self.is_streaming = False
-        """Whether a streamed response has begun, which binds the request to its attempt without deadline."""
+        """Whether a streamed response has begun, which binds the request to one attempt, with no deadline."""
         self.is_queued = False
         self.is_done = False
 
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -84,7 +84,7 @@
 
     def dispatch_queued(self, now: int) -> None:
         """Send queued requests while there is capacity."""
-        while (request := self._wait_queue.first()) is not None:
+        while (request := self._wait_queue.peek()) is not None:
             if self._load_shedder.is_hopeless(request, now):
                 self._wait_queue.discard(request)
                 self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: each gateway admits its part of what a tenant may send to all of them, as a token bucket."""
+"""Tenant quotas: each gateway enforces its share of a tenant's quota with a token bucket."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 __all__ = ["TenantQuota", "TenantQuotas"]
 
 BURST_SECONDS = 2
-"""Seconds of its quota that a tenant may use at once,"""
+"""Largest burst of a tenant, in seconds of its quota; `BURST_REQUESTS` is added."""
 BURST_REQUESTS = 4
-"""and so many requests more: chance arrivals at a gateway that gets one in some seconds."""
+"""Requests added to the largest burst: requests may coincide by chance even at a low rate per gateway."""
 
 
 class TenantQuota:
-    """The credit of one tenant at this gateway."""
+    """Token bucket of one tenant at this gateway."""
 
     __slots__ = ("credit", "quota_per_s", "updated_at")
 
     def __init__(self, quota_per_s: float) -> None:
         self.quota_per_s = quota_per_s
-        """Requests a second, over all gateways."""
+        """Requests per second over all gateways."""
         self.credit = inf
-        """Requests that it may send now; cut to the largest burst when it is refilled."""
+        """Requests that the tenant may send now; each refill limits it to the largest burst."""
         self.updated_at = 0
 
     def refill(self, replicas: int, now: int) -> float:
-        """The credit at `now`, with `replicas` gateways sharing the quota."""
+        """Refill and return the credit at `now`, with the quota shared by `replicas` gateways."""
         rate = self.quota_per_s / replicas
         grown = self.credit + rate * (now - self.updated_at) / SECOND
         self.credit, self.updated_at = min(grown, BURST_SECONDS * rate + BURST_REQUESTS), now
@@ -37,7 +37,7 @@
 
 
 class TenantQuotas:
-    """The quotas of all tenants, by their position in the settings; None for one without a quota."""
+    """Quotas of all tenants by their index in the settings; None for a tenant without a quota."""
 
     __slots__ = ("quotas",)
 
@@ -45,10 +45,10 @@
         self.quotas = [_quota_of(tenant) for tenant in tenants]
 
     def update(self, changes: Sequence[tuple[int, Tenant]], replicas: int, now: int) -> None:
-        """Put changes in force in their order; one past the last position adds a tenant.
+        """Apply changes in order; the index after the last one adds a tenant.
 
-        A tenant that keeps having a quota keeps its credit. Raises ValueError for a position further on,
-        before any change.
+        A tenant that had a quota before and still has one keeps its credit. An index beyond that raises
+        ValueError before any change is applied.
         """
         size = len(self.quotas)
         for position, _ in changes:
--- a/balancer/timer_registry.py
+++ b/balancer/timer_registry.py
@@ -1,4 +1,4 @@
-"""The timers that a balancer has set, and what each of them is for."""
+"""The pending timers of a balancer and their owners."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 __all__ = ["TimerOwner", "TimerRegistry"]
 
 MAX_TOKEN = 0xFFFFFFFF
-"""Tokens count up to this and then begin anew: they go out as 32 bits."""
+"""Tokens wrap around after this value, as they are sent as 32 bits."""
 
 TimerOwner = Request | Attempt | DiscoveryPolling
 
 
 class TimerRegistry:
-    """Timers by their tokens; none is taken back, and one whose owner needs it no longer expires in vain."""
+    """Pending timers by token; timers are never cancelled, and one that is no longer needed has no effect."""
 
     def __init__(self, actions: Actions) -> None:
         self._actions = actions
@@ -23,11 +23,11 @@
         self.owners: dict[int, TimerOwner] = {}
 
     def set(self, owner: TimerOwner, delay_ns: int) -> None:
-        """Set a timer."""
+        """Set a timer for its owner."""
         self._last_token = (self._last_token + 1) & MAX_TOKEN
         self.owners[self._last_token] = owner
         self._actions.set_timer(self._last_token, max(1, delay_ns))
 
     def expire(self, token: int) -> TimerOwner | None:
-        """Whose timer has expired; None for a token that is not known."""
+        """Remove an expired timer and return its owner; None for an unknown token."""
         return self.owners.pop(token, None)
--- a/balancer/units.py
+++ b/balancer/units.py
@@ -1,10 +1,10 @@
-"""Units of time. All times and durations of this package are integers, in nanoseconds."""
+"""Time units. All times and durations in this package are integers in nanoseconds."""
 
 from __future__ import annotations
 
 __all__ = ["MS", "SECOND"]
 
 MS = 1_000_000
-"""Nanoseconds in a millisecond."""
+"""Nanoseconds per millisecond."""
 SECOND = 1_000_000_000
-"""Nanoseconds in a second."""
+"""Nanoseconds per second."""
--- a/balancer/wait_queue.py
+++ b/balancer/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity, those with the highest priority first."""
+"""Queue of requests that wait for capacity, ordered by priority."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 __all__ = ["WaitQueue"]
 
-SPARE_ENTRIES = 32
-"""Entries of requests that wait no longer which the heap may carry before it is built anew."""
+MAX_STALE_ENTRIES = 32
+"""Entries of removed requests, beyond one per waiting request, that the heap holds before a rebuild."""
 
 
 class WaitQueue:
-    """A priority queue; requests of one priority leave it in the order of their numbers."""
+    """A priority queue; requests of equal priority are ordered by request ID."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Request]] = []
-        self._waiting = 0
+        self._size = 0
 
     def __len__(self) -> int:
-        return self._waiting
+        return self._size
 
     @property
     def heap_size(self) -> int:
-        """Entries of the heap, with those of requests that wait no longer."""
+        """Number of heap entries, including those of removed requests."""
         return len(self._heap)
 
     def add(self, request: Request, priority: float) -> None:
-        """Have a request wait."""
+        """Add a request to the queue."""
         heappush(self._heap, (-priority, request.request_id, request))
         request.is_queued = True
-        self._waiting += 1
-        if len(self._heap) > 2 * self._waiting + SPARE_ENTRIES:
+        self._size += 1
+        if len(self._heap) > 2 * self._size + MAX_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if entry[2].is_queued]
             heapify(self._heap)
 
-    def first(self) -> Request | None:
-        """The request with the highest priority, which goes on waiting; None if none waits."""
+    def peek(self) -> Request | None:
+        """The request with the highest priority, which stays in the queue; None if the queue is empty."""
         while self._heap:
             request = self._heap[0][2]
             if request.is_queued:
@@ -46,7 +46,7 @@
         return None
 
     def discard(self, request: Request) -> None:
-        """Have a request wait no longer, if it does."""
+        """Remove a request from the queue if it is there."""
         if request.is_queued:
             request.is_queued = False
-            self._waiting -= 1
+            self._size -= 1
