--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -31,7 +31,7 @@
 A change missed meanwhile counts as notified 6 s later, and a silent watch is noticed only after half of that.
 """
 NOTIFIED_AFTER_NS = 6 * SECOND
-"""Time in ns after which a change counts as notified, once discovery has it and can be reached."""
+"""Time in ns after which a change counts as notified, whatever fails, once reachable discovery has it."""
 CALL_QUEUEING_NS = 2 * SECOND
 """Part of `NOTIFIED_AFTER_NS` reserved for the next call to wait in the queue of discovery, in ns."""
 
@@ -108,8 +108,8 @@
     def _next_backoff(self, now: int) -> float:
         """The maximum delay before the next call, in ns.
 
-        The delay ends `CALL_QUEUEING_NS` before changes that discovery may have by now count as notified: the
-        longer a call took to fail, the sooner the next one follows.
+        Unless it is below `REWATCH_SPREAD_NS`, it ends `CALL_QUEUEING_NS` before changes that discovery may
+        have by now count as notified: the longer a call took to fail, the sooner the next one follows.
         """
         first = max(FIRST_BACKOFF_SHARE * self._interval_ns, self._spread_ns)
         if self._is_missing_changes:
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -150,6 +150,6 @@
     def on_tenants(self, now_ns: int, changes: Sequence[tuple[int, Tenant]]) -> None:
         """Apply changes of tenants in order; each pairs an index with the tenant that it now refers to.
 
-        The index after the last one adds a tenant. A tenant without a quota loses its credit. An index beyond
-        that raises ValueError before any change is applied.
+        The index after the last one adds a tenant. A tenant without a quota loses its credit. A higher index
+        raises ValueError before any change is applied.
         """
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -47,8 +47,8 @@
     def update(self, changes: Sequence[tuple[int, Tenant]], replicas: int, now: int) -> None:
         """Apply changes in order; the index after the last one adds a tenant.
 
-        A tenant that had a quota before and still has one keeps its credit. An index beyond that raises
-        ValueError before any change is applied.
+        A tenant that had a quota before and still has one keeps its credit. A higher index raises ValueError
+        before any change is applied.
         """
         size = len(self.quotas)
         for position, _ in changes:
--- a/tests/balancer/__init__.py
+++ b/tests/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the balancer: its decisions without input or output."""
+"""Tests of the balancer package, without I/O."""
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: its events, and settings that change while it runs."""
+"""Tests of the balancer: invalid events, and settings that change while it runs."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
 
-def test_an_unknown_class_is_named_in_the_error() -> None:
+def test_unknown_class_is_named_in_the_error() -> None:
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     with pytest.raises(ValueError, match="class 7"):
         gateway.balancer.on_request(0, IncomingRequest(1, 7, 0, 0, SECOND, 0, False))
 
 
-def test_an_unknown_tenant_and_a_reused_request_id_are_named_in_the_error() -> None:
+def test_unknown_tenant_and_reused_request_id_are_named_in_the_error() -> None:
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     with pytest.raises(ValueError, match="tenant 3"):
         gateway.balancer.on_request(0, IncomingRequest(1, 0, 3, 0, SECOND, 0, False))
@@ -28,7 +28,7 @@
         gateway.balancer.on_request(0, IncomingRequest(request_id, 0, 0, 0, SECOND, 0, False))
 
 
-def test_settings_change_in_place_and_classes_keep_their_statistics() -> None:
+def test_changed_settings_apply_and_classes_keep_their_statistics() -> None:
     one, two = make_class(name="one"), make_class(Idempotency.NON_IDEMPOTENT, name="two")
     before = make_settings(one, two, tenants=(Tenant("a", 40.0),), over_quota_weight=0.05)
     gateway = GatewayModel(before, make_entries(4))
@@ -39,8 +39,8 @@
     open_request = balancer.lifecycle.requests[request_id]
     means = [traffic_class.mean for traffic_class in balancer.classes]
     assert means[0] < means[1]
-    stricter = replace(two, latency_objective_ns=300 * MS, priority_weight=5.0)
-    gateway.apply_settings(replace(before, classes=(stricter, one), tenants=(), replicas=4))
+    changed_two = replace(two, latency_objective_ns=300 * MS, priority_weight=5.0)
+    gateway.apply_settings(replace(before, classes=(changed_two, one), tenants=(), replicas=4))
     assert [traffic_class.mean for traffic_class in balancer.classes] == means[::-1]
     assert [
         (traffic_class.latency_objective_ns, traffic_class.priority_weight)
@@ -50,14 +50,14 @@
     assert old_class not in balancer.classes
     assert (old_class.latency_objective_ns, old_class.priority_weight) == (400 * MS, 1.0)
     gateway.run_for(20 * MS)
-    gateway.end_attempt(request_id, Outcome.RESET)  # non-idempotent by the settings under which it came
+    gateway.end_attempt(request_id, Outcome.RESET)  # non-idempotent under the settings at its arrival
     assert gateway.final_responses[request_id] is FinalResponse.FAILED
     assert open_request.attempt_count == 1
     gateway.run_for(20 * SECOND)
     gateway.receive_request(1)
     tenant = balancer.tenants.quotas[0]
     assert tenant is not None
-    assert tenant.credit == 2 * 40.0 / 4 + 4 - 1  # this gateway's part, now that there are four
+    assert tenant.credit == 2 * 40.0 / 4 + 4 - 1  # the share of one of now four gateways
     assert balancer.endpoints.per_gateway == 1.0
     assert not gateway.violations
 
@@ -73,7 +73,7 @@
         {"classes": (make_class(Idempotency.NON_IDEMPOTENT),)},
     ],
 )
-def test_settings_that_cannot_change_are_named_and_change_nothing(changes: dict[str, Any]) -> None:
+def test_change_of_an_immutable_setting_is_refused(changes: dict[str, Any]) -> None:
     before = make_settings()
     gateway = GatewayModel(before, [make_entry("h")])
     classes = gateway.balancer.classes
--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""Discovery with many gateways: each is notified in time, however its calls fail."""
+"""Tests that every one of many gateways is notified in time, even if its discovery calls fail."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from tests.support.gateway_model import GatewayModel
 from tests.support.settings_builders import make_entry, make_settings
 
-NOTIFIED_AFTER = 6 * SECOND
-"""A change counts as notified so long after discovery had it and could be reached; then the grace begins."""
-GRACE = SECOND
-"""The time after that in which attempts may still go to a draining endpoint."""
-QUEUE_TIMEOUT = 3 * SECOND
-"""A call that has waited so long for its turn fails, and has cost discovery half of its turn."""
-CALL_TIMEOUT = 4250 * MS
-"""A gateway gives up a call without a response after this time."""
+NOTIFIED_AFTER_NS = 6 * SECOND
+"""Time after which a change counts as notified, once reachable discovery has it; then the grace begins."""
+GRACE_NS = SECOND
+"""Time after the notification for which a draining endpoint may still get attempts."""
+QUEUE_TIMEOUT_NS = 3 * SECOND
+"""Time after which a queued call fails; it still costs discovery half of its service time."""
+CALL_TIMEOUT_NS = 4250 * MS
+"""Time after which a gateway gives up a call without a response."""
 ENTRIES = [make_entry("h")]
 
 
 def make_gateway(number: int, replicas: int, seed: int, interval_s: int = 10) -> GatewayModel:
-    """One of some gateways that poll discovery, before its first endpoint list."""
+    """Make one of several gateways that poll discovery; it has no endpoint list yet."""
     settings = make_settings(
         replicas=replicas,
         instance_number=number,
@@ -37,16 +37,16 @@
 
 
 class EventKind(IntEnum):
-    """What happens to a gateway."""
+    """Kind of an event at a gateway."""
 
     TIMER = 0
-    """Its timer expires, and it calls discovery."""
+    """The gateway's timer expires, and it calls discovery."""
     CALL_FAILED = 1
     LIST_RECEIVED = 2
 
 
 class Event(NamedTuple):
-    """An event at a gateway; events are ordered by time, then by gateway."""
+    """An event at a gateway; events are sorted by time, then by gateway."""
 
     time: int
     gateway: int
@@ -55,30 +55,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A time from 0 on in which all calls of discovery fail."""
+    """An outage from time 0 on, during which all discovery calls fail."""
 
-    ends_at: int
-    fails_after: int
-    """Time that a call takes to fail."""
+    ends_at_ns: int
+    fails_after_ns: int
+    """Time that a call takes to fail during the outage."""
 
 
 UNREACHABLE = Outage(8 * SECOND, 0)
-SILENT = Outage(8 * SECOND, CALL_TIMEOUT)
-RESPONDING_503 = Outage(3 * SECOND, 100 * MS)
+SILENT = Outage(8 * SECOND, CALL_TIMEOUT_NS)
+ERROR_503 = Outage(3 * SECOND, 100 * MS)
 
 
 class DiscoverySimulation:
-    """Gateways that call discovery during and after an outage; it serves one call at a time, in `turn_ns`."""
+    """Gateways that call discovery during and after an outage.
 
-    def __init__(self, gateways: Iterable[GatewayModel], turn_ns: int, outage: Outage) -> None:
+    Discovery serves one call at a time, and takes `service_ns` for each.
+    """
+
+    def __init__(self, gateways: Iterable[GatewayModel], service_ns: int, outage: Outage) -> None:
         self._gateways = list(gateways)
-        self._turn_ns = turn_ns
+        self._service_ns = service_ns
         self._outage = outage
-        self._idle_at = 0
+        self._idle_at_ns = 0
         self._events: list[Event] = []
 
     def run(self) -> list[int]:
-        """The time in ns from the end of the outage until each gateway has its list, in any order."""
+        """Return the time in ns from the end of the outage until each gateway has a list, in any order."""
         for number in range(len(self._gateways)):
             self._push_timer(number)
         delays = []
@@ -91,24 +94,24 @@
                 self._push_timer(event.gateway)
             else:
                 self._update(event, UpdateKind.SNAPSHOT)
-                delays.append(event.time - self._outage.ends_at)
+                delays.append(event.time - self._outage.ends_at_ns)
         assert len(delays) == len(self._gateways)
         return delays
 
     def _call(self, event: Event) -> None:
-        """A gateway calls discovery, which fails the call or has it wait for its turn."""
+        """Have a gateway call discovery, which fails the call or queues it."""
         now = event.time
         self._gateways[event.gateway].run_until(now)
-        if now < self._outage.ends_at:
-            self._push(now + self._outage.fails_after, event.gateway, EventKind.CALL_FAILED)
+        if now < self._outage.ends_at_ns:
+            self._push(now + self._outage.fails_after_ns, event.gateway, EventKind.CALL_FAILED)
             return
-        begins_at = max(self._idle_at, now)
-        if begins_at - now > QUEUE_TIMEOUT:
-            self._idle_at = begins_at + self._turn_ns // 2
-            self._push(now + QUEUE_TIMEOUT, event.gateway, EventKind.CALL_FAILED)
+        starts_at = max(self._idle_at_ns, now)
+        if starts_at - now > QUEUE_TIMEOUT_NS:
+            self._idle_at_ns = starts_at + self._service_ns // 2
+            self._push(now + QUEUE_TIMEOUT_NS, event.gateway, EventKind.CALL_FAILED)
         else:
-            self._idle_at = begins_at + self._turn_ns
-            self._push(self._idle_at, event.gateway, EventKind.LIST_RECEIVED)
+            self._idle_at_ns = starts_at + self._service_ns
+            self._push(self._idle_at_ns, event.gateway, EventKind.LIST_RECEIVED)
 
     def _update(self, event: Event, kind: UpdateKind) -> None:
         gateway = self._gateways[event.gateway]
@@ -122,13 +125,13 @@
         heappush(self._events, Event(time, number, kind))
 
 
-def start_without_list(gateway: GatewayModel) -> None:
-    """Start a gateway, which has a cached list only."""
+def start_with_cached_list(gateway: GatewayModel) -> None:
+    """Start a gateway with only a cached list."""
     gateway.update_endpoint_list(UpdateKind.CACHED, ENTRIES)
 
 
 def break_watch(gateway: GatewayModel) -> None:
-    """Break the watch of a gateway, which has a list."""
+    """Give a gateway a list, then break its watch."""
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, ENTRIES)
     gateway.update_endpoint_list(UpdateKind.FAILED, [])
 
@@ -136,16 +139,17 @@
 @pytest.mark.parametrize("watch_breaks", [False, True], ids=["start", "broken watch"])
 @pytest.mark.parametrize(
     "outage",
-    [UNREACHABLE, SILENT, RESPONDING_503],
+    [UNREACHABLE, SILENT, ERROR_503],
     ids=["refusing", "silent", "responding 503"],
 )
-@pytest.mark.parametrize(("gateways", "turn_ms"), [(3, 200), (30, 100), (200, 24)])
-def test_failed_calls_are_repeated_in_time_and_spread(
-    gateways: int, turn_ms: int, outage: Outage, watch_breaks: bool
+@pytest.mark.parametrize(("gateways", "service_ms"), [(3, 200), (30, 100), (200, 24)])
+def test_failed_calls_are_repeated_in_time(
+    gateways: int, service_ms: int, outage: Outage, watch_breaks: bool
 ) -> None:
-    """After a failed call a backoff of up to 7.5 s was drawn, and then the next call may wait 4 s more.
+    """Guards against a backoff that is too long for the time limit.
 
-    Discovery can serve all lists in 4.8 s at most; it does so within 6 s and a grace of one.
+    The backoff after a failed call was up to 7.5 s, and the next call could wait another 4 s. Discovery needs
+    at most 4.8 s to serve all gateways; all must have a list within 6 s and a grace period of 1 s.
     """
     for seed in range(3):
         models = [make_gateway(number, gateways, 1000 * seed + number) for number in range(gateways)]
@@ -153,28 +157,28 @@
             if watch_breaks:
                 break_watch(model)
             else:
-                start_without_list(model)
-        delays = DiscoverySimulation(models, turn_ms * MS, outage).run()
-        assert max(delays) <= NOTIFIED_AFTER + GRACE
+                start_with_cached_list(model)
+        delays = DiscoverySimulation(models, service_ms * MS, outage).run()
+        assert max(delays) <= NOTIFIED_AFTER_NS + GRACE_NS
 
 
-def test_a_long_polling_interval_allows_no_long_backoff() -> None:
-    """With an interval of a minute first calls were spread over 30 s, and failed ones repeated 45 s later."""
+def test_backoff_is_bounded_at_a_long_polling_interval() -> None:
+    """Guards against a spread of first calls over 30 s and a backoff of 45 s at an interval of one minute."""
     for outage in (UNREACHABLE, SILENT):
         models = [make_gateway(number, 60, number, interval_s=60) for number in range(60)]
         for model in models:
-            start_without_list(model)
+            start_with_cached_list(model)
         delays = DiscoverySimulation(models, 20 * MS, outage).run()
-        assert max(delays) <= NOTIFIED_AFTER + GRACE
+        assert max(delays) <= NOTIFIED_AFTER_NS + GRACE_NS
 
 
 def test_calls_of_many_gateways_are_spread_after_a_common_start() -> None:
-    """Forty first calls came within a quarter of the interval; those that failed were repeated together."""
+    """Guards against 40 first calls within a quarter of the interval, and failed calls repeated together."""
     first_calls: list[int] = []
     repeated_calls: list[int] = []
     for number in range(40):
         gateway = make_gateway(number, 40, number)
-        start_without_list(gateway)
+        start_with_cached_list(gateway)
         first_calls += gateway.timers.values()
         gateway.timers.clear()
         gateway.update_endpoint_list(UpdateKind.FAILED, [])
@@ -182,12 +186,12 @@
     for times in (first_calls, repeated_calls):
         assert len(times) == 40
         assert max(times) <= 10 * SECOND
-        for second in range(10):  # at most three in ten of them within a second
+        for second in range(10):  # at most 30% of the calls in any second
             assert sum(time // SECOND == second for time in times) <= 12
 
 
-def test_watches_that_broke_together_are_renewed_soon_and_spread() -> None:
-    """Two hundred waited up to 7.5 s, as after a failed call; what they miss counts as notified after 6 s."""
+def test_simultaneously_broken_watches_are_renewed_soon_and_spread() -> None:
+    """Guards against a wait of up to 7.5 s, as after a failed call, when changes count as notified at 6 s."""
     times: list[int] = []
     for number in range(200):
         gateway = make_gateway(number, 200, number)
@@ -195,12 +199,12 @@
         times += gateway.timers.values()
     assert len(times) == 200
     assert max(times) <= SECOND
-    for tenth in range(10):  # at most one in six of them within a tenth of a second
+    for tenth in range(10):  # at most one sixth of the calls in any tenth of a second
         assert sum(10 * time // SECOND == tenth for time in times) <= 33
 
 
-def test_a_broken_watch_is_renewed_soon_although_a_call_fails() -> None:
-    """With an interval of a minute a failed call was repeated after up to 9 s, also after a broken watch."""
+def test_backoff_after_a_broken_watch_starts_small() -> None:
+    """Guards against a backoff of up to 9 s after a broken watch, at an interval of one minute."""
     for number in range(20):
         gateway = make_gateway(number, 200, number, interval_s=60)
         gateway.update_endpoint_list(UpdateKind.SNAPSHOT, ENTRIES)
--- a/tests/balancer/test_endpoint_index.py
+++ b/tests/balancer/test_endpoint_index.py
@@ -1,4 +1,4 @@
-"""The endpoint list, indexed for selection."""
+"""Tests of the index of the endpoint list."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.settings_builders import make_entry, make_settings
 
 
-def test_endpoints_that_are_gone_are_forgotten_and_one_that_returns_is_in_slow_start() -> None:
+def test_gone_endpoints_are_removed_and_a_returning_one_is_in_slow_start() -> None:
     gateway = GatewayModel(make_settings(), [make_entry("old")])
     request_id = gateway.receive_request()
     gateway.run_until(20 * MS)
@@ -25,7 +25,7 @@
         gateway.update_endpoint_list(UpdateKind.DELTA, [gone, ready])
     gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("old", state=EndpointState.GONE)])
     assert list(gateway.balancer.endpoints.by_id) == ["h500"]
-    gateway.end_attempt(request_id, Outcome.OK)  # an attempt at an endpoint that is forgotten still counts
+    gateway.end_attempt(request_id, Outcome.OK)  # the attempt still counts after its endpoint was removed
     assert gateway.final_responses[request_id] is FinalResponse.SERVED
     assert gateway.balancer.endpoints.local_pool.in_flight == 0
     gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("old", started_ns=gateway.now)])
@@ -34,7 +34,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """An update of the endpoint list; a snapshot drops every second entry that is not in it."""
+    """An update of the endpoint list; a snapshot drops the unchanged entries with even numbers."""
 
     kind: UpdateKind
     entries: list[EndpointEntry]
@@ -52,12 +52,12 @@
 
 
 def ids_of(endpoints: Iterable[Endpoint]) -> list[EndpointId]:
-    """The identities of some endpoints, in their order."""
+    """The IDs of the endpoints, in their order."""
     return [endpoint.endpoint_id for endpoint in endpoints]
 
 
 def assert_same_index(index: EndpointIndex, other: EndpointIndex) -> None:
-    """Assert that two indexes hold the same endpoints in the same order."""
+    """Assert that both indexes have the same endpoints in the same order."""
     for updated, fresh in (
         (index.ready_by_zone, other.ready_by_zone),
         ([index.ready_remote], [other.ready_remote]),
@@ -74,8 +74,8 @@
 
 @settings(max_examples=200)
 @given(UPDATES)
-def test_the_index_follows_each_change_of_the_endpoint_list(updates: list[ListUpdate]) -> None:
-    """After any updates it is that of a gateway that gets the resulting snapshot at once."""
+def test_incremental_updates_match_a_fresh_index(updates: list[ListUpdate]) -> None:
+    """After each update the index equals that of a gateway that starts with the resulting snapshot."""
     gateway_settings = make_settings(zones=3, replicas=4, instance_number=1)
     entries = [make_entry(f"h{number}", zone=number % 3, cell=number % 4) for number in range(30)]
     listed: dict[EndpointId, EndpointEntry] = {entry.endpoint_id: entry for entry in entries}
--- a/tests/balancer/test_package.py
+++ b/tests/balancer/test_package.py
@@ -1,4 +1,4 @@
-"""The shape of the package `balancer`, and what must not change its decisions."""
+"""Tests of the package `balancer`: module sizes, the deploy file and independence of hash order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ROOT = Path(__file__).parent.parent.parent
 MODULES = sorted((ROOT / "balancer").glob("*.py"))
 MAX_MODULE_LINES = 300
-"""Lines of a module at most, blank ones not counted."""
+"""Maximum number of lines in a module, without blank lines."""
 MAX_LINE_LENGTH = 110
 SCENARIO = """
 from balancer import MS, Outcome
@@ -31,15 +31,15 @@
 """
 
 
-def test_decision_modules_stay_small() -> None:
-    """One decision a module: none grows back into the one of over a thousand lines that they came from."""
+def test_modules_stay_small() -> None:
+    """Guards against one large module again: the modules were split from one of over a thousand lines."""
     for path in MODULES:
         lines = path.read_text().splitlines()
         assert sum(1 for line in lines if line.strip()) <= MAX_MODULE_LINES, path.name
         assert max(map(len, lines)) <= MAX_LINE_LENGTH, path.name
 
 
-def test_the_deploy_file_names_every_decision_module() -> None:
+def test_deploy_file_names_every_module() -> None:
     deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deployment["policy"] == [f"balancer/{path.name}" for path in MODULES]
 
--- a/tests/balancer/test_protocol_rules.py
+++ b/tests/balancer/test_protocol_rules.py
@@ -1,4 +1,4 @@
-"""The operators' rules under arbitrary sequences of events, judged by a `RuleChecker`."""
+"""Property tests of the operators' rules under arbitrary sequences of events, with a `RuleChecker`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.scenario import MAX_NUMBER, Scenario, Step, StepKind
 from tests.support.settings_builders import make_class, make_entry, make_settings
 
-# Requests, outcomes and time come often, so that long histories of one request are common.
+# Requests, outcomes and time steps are frequent, so that requests with many events are common.
 FREQUENCIES = {
     StepKind.REQUEST: 6,
     StepKind.TIME: 8,
@@ -44,7 +44,7 @@
 
 @settings(max_examples=100)
 @given(STEPS)
-def test_requests_that_are_done_leave_no_state(steps: list[Step]) -> None:
+def test_ended_requests_leave_no_state(steps: list[Step]) -> None:
     gateway = Scenario(Limits(max_attempts=4), 4, 1, False).run(steps)
     for request_id, record in gateway.requests.items():
         while record.attempts_in_flight:
@@ -67,8 +67,8 @@
     assert (one.attempts, one.final_responses, one.timers) == (two.attempts, two.final_responses, two.timers)
 
 
-def test_the_protocol_rules_do_not_rely_on_the_selection() -> None:
-    """The selection offers permitted endpoints only; the rules must hold without that."""
+def test_protocol_rules_do_not_rely_on_endpoint_selection() -> None:
+    """The selection only offers permitted endpoints; the rules must also hold for others."""
     with_key = make_class(
         Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, deduplication_window_ns=400 * MS
     )
@@ -87,11 +87,11 @@
     gateway.run_until(10 * MS)
     gateway.end_attempt(request_id, Outcome.RESET)
     assert rules.may_send(request, same_cell, gateway.now)
-    assert not rules.may_send(request, other_cell, gateway.now)  # out of the deduplication scope
+    assert not rules.may_send(request, other_cell, gateway.now)  # outside the deduplication scope
     assert not rules.may_send(request, same_cell, 400 * MS)  # the deduplication window is over
     same_cell.state = EndpointState.DRAINING
     assert not rules.may_send(request, same_cell, gateway.now)
     same_cell.state = EndpointState.READY
     same_cell.started_at, same_cell.slow_start_until = gateway.now, gateway.now + SECOND
     same_cell.credit_updated_at, same_cell.slow_start_credit = gateway.now, 0.0
-    assert not rules.may_send(request, same_cell, gateway.now)  # no credit of the overload budget yet
+    assert not rules.may_send(request, same_cell, gateway.now)  # no slow-start credit yet
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request, up to its one final response."""
+"""Tests of the request lifecycle up to the final response."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-def test_a_bad_request_fails_at_once_and_is_no_evidence_against_its_endpoint(
+def test_bad_request_fails_at_once_and_does_not_count_against_its_endpoint(
     idempotency: Idempotency,
 ) -> None:
-    """Each request with a response of 400 was sent to two endpoints, and both were avoided for seconds."""
+    """Guards against a retry after a 400 response, and against ejecting the endpoints that sent one."""
     gateway = GatewayModel(make_settings(make_class(idempotency)), make_entries(4))
     serve_one_by_one(gateway, 40, 20 * MS)
     request_id = gateway.receive_request()
--- a/tests/balancer/test_rule_checker.py
+++ b/tests/balancer/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""The judge of the other tests: it reports each violation of a rule, and nothing else."""
+"""Tests of the `RuleChecker` of the other tests: it reports each rule violation and nothing else."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     scope: DeduplicationScope = DeduplicationScope.ALL,
     limits: Limits | None = None,
 ) -> RuleChecker:
-    """A checker that follows a request with a deadline of 1 s and a deduplication window of 400 ms."""
+    """Make a checker with an open request, a deadline of 1 s and a deduplication window of 400 ms."""
     window_ns = 400 * MS if idempotency is Idempotency.IDEMPOTENCY_KEY else 0
     request_class = make_class(idempotency, scope, deduplication_window_ns=window_ns)
     checker = RuleChecker(make_settings(request_class, zones=2, limits=limits or Limits(max_attempts=2)))
@@ -27,28 +27,28 @@
 
 
 def violated(checker: RuleChecker) -> list[Rule]:
-    """The rules that were violated, in order."""
+    """The violated rules, in order."""
     return [violation.rule for violation in checker.violations]
 
 
 def retry(checker: RuleChecker, endpoint_id: str, outcome: Outcome = Outcome.RESET, now: int = 0) -> None:
-    """Send an attempt to h0 that ends with this outcome, and then one to another endpoint."""
+    """Send an attempt to h0, end it with the outcome, and send another attempt."""
     checker.check_attempt(REQUEST_ID, "h0", 0)
     checker.end_attempt(REQUEST_ID, 0, outcome)
     checker.check_attempt(REQUEST_ID, endpoint_id, now)
 
 
-def test_a_final_response_may_come_a_little_after_the_deadline() -> None:
-    for now, late in ((SECOND + 5 * MS, []), (SECOND + 5 * MS + 1, [Rule.FINAL_RESPONSE])):
-        answered, unanswered = make_checker(), make_checker()
-        answered.check_fail(REQUEST_ID, now)
-        unanswered.check_overdue(now)
-        assert violated(answered) == late
-        assert violated(unanswered) == late
-        assert answered.final_responses == {REQUEST_ID: FinalResponse.FAILED}
+def test_final_response_may_follow_the_deadline_within_the_slack() -> None:
+    for now, expected in ((SECOND + 5 * MS, []), (SECOND + 5 * MS + 1, [Rule.FINAL_RESPONSE])):
+        responded, pending = make_checker(), make_checker()
+        responded.check_fail(REQUEST_ID, now)
+        pending.check_overdue(now)
+        assert violated(responded) == expected
+        assert violated(pending) == expected
+        assert responded.final_responses == {REQUEST_ID: FinalResponse.FAILED}
 
 
-def test_nothing_follows_the_final_response() -> None:
+def test_nothing_may_follow_the_final_response() -> None:
     checker = make_checker()
     checker.check_attempt(REQUEST_ID, "h0", 0)
     checker.end_attempt(REQUEST_ID, 0, Outcome.OK)
@@ -71,7 +71,7 @@
         (Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, "h2", 0, False),
     ],
 )
-def test_a_request_is_repeated_only_where_that_is_harmless(
+def test_request_is_repeated_only_where_idempotency_allows_it(
     idempotency: Idempotency, scope: DeduplicationScope, endpoint_id: str, now: int, is_allowed: bool
 ) -> None:
     processed, unprocessed = make_checker(idempotency, scope), make_checker(idempotency, scope)
@@ -81,8 +81,8 @@
     assert not unprocessed.violations
 
 
-def test_an_outcome_is_that_of_its_attempt() -> None:
-    """The later of two attempts at one endpoint proves nothing about the earlier one."""
+def test_outcome_counts_only_for_its_own_attempt() -> None:
+    """The outcome of a second attempt at an endpoint says nothing about the first one."""
     checker = make_checker(Idempotency.IDEMPOTENCY_KEY, limits=Limits(max_attempts=3))
     retry(checker, "h0", now=300 * MS)
     checker.end_attempt(REQUEST_ID, 1, Outcome.OVERLOADED)
@@ -99,7 +99,7 @@
         (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, False),
     ],
 )
-def test_a_request_is_rejected_only_if_sending_it_again_is_harmless(
+def test_request_is_rejected_only_if_sending_it_again_is_safe(
     idempotency: Idempotency, scope: DeduplicationScope, is_allowed: bool
 ) -> None:
     unsent, sent = make_checker(idempotency, scope), make_checker(idempotency, scope)
@@ -110,7 +110,7 @@
     assert violated(sent) == ([] if is_allowed else [Rule.REPETITION])
 
 
-def test_attempts_are_counted() -> None:
+def test_attempts_are_limited() -> None:
     checker = make_checker()
     retry(checker, "h1")
     assert not checker.violations
@@ -122,7 +122,7 @@
     assert violated(checker) == [Rule.REPETITION]
 
 
-def test_an_endpoint_that_is_not_ready_gets_attempts_for_the_grace_only() -> None:
+def test_draining_or_gone_endpoint_gets_attempts_only_during_the_grace_period() -> None:
     draining = make_entry("h0", state=EndpointState.DRAINING)
     for kind, entries in ((UpdateKind.DELTA, [draining]), (UpdateKind.SNAPSHOT, ENTRIES[1:])):
         checker = make_checker(limits=Limits(max_attempts=4))
@@ -138,7 +138,7 @@
         assert violated(checker) == [Rule.DRAINING]
 
 
-def test_only_actions_that_the_settings_allow() -> None:
+def test_actions_need_permission_by_the_settings() -> None:
     for is_allowed in (True, False):
         limits = Limits(cancellation=is_allowed, health_checks=is_allowed, gossip=is_allowed)
         checker = make_checker(limits=limits)
@@ -148,6 +148,6 @@
         checker.check_gossip(b"\x00" * 256)
         assert violated(checker) == ([] if is_allowed else [Rule.PERMISSION] * 3)
     checker = make_checker(limits=Limits(gossip=True))
-    checker.check_cancel(REQUEST_ID, 0)  # it is not sent
+    checker.check_cancel(REQUEST_ID, 0)  # the attempt was not sent
     checker.check_gossip(b"\x00" * 257)
     assert violated(checker) == [Rule.PERMISSION] * 2
--- a/tests/balancer/test_settings_parser.py
+++ b/tests/balancer/test_settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings parser: every key of the wire reaches its field, and what makes no sense is malformed."""
+"""Tests of the settings parser: each key sets its field, and invalid values are reported as malformed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 }
 
 
-def test_settings_are_read_and_unknown_keys_passed_over() -> None:
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
     settings = parse_settings(json.dumps(SETTINGS).encode())
     assert (settings.zone, settings.zones, settings.replicas) == (1, 2, 3)
     assert settings.classes[0].idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -54,12 +54,12 @@
         {"my-number": -1},
     ],
 )
-def test_bad_settings_are_malformed(change: dict[str, Any]) -> None:
+def test_invalid_settings_are_malformed(change: dict[str, Any]) -> None:
     with pytest.raises(SettingsError):
         parse_settings(json.dumps(SETTINGS | change).encode())
 
 
-def test_every_setting_of_the_wire_reaches_its_field() -> None:
+def test_each_key_sets_its_field() -> None:
     parsed = parse_settings(
         json.dumps(
             SETTINGS
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenant quotas, and tenants that change while the balancer runs."""
+"""Tests of tenant quotas, and of tenants that change while the balancer runs."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
 
-def test_requests_over_quota_give_way_while_the_pool_is_busy() -> None:
-    """A tenant far over its quota displaced those within theirs, though its excess had little weight."""
+def test_requests_over_quota_are_rejected_first_while_the_pool_is_busy() -> None:
+    """Guards against a tenant far over its quota displacing others: its excess has little weight."""
     tenants = (Tenant("over quota", quota_per_s=10.0), Tenant("within quota", quota_per_s=10.0))
     gateway = GatewayModel(
         make_settings(tenants=tenants, over_quota_weight=0.05), [make_entry("a"), make_entry("b")]
@@ -20,7 +20,7 @@
     serve_one_by_one(gateway, 30, 20 * MS)
     over: list[int] = []
     within: list[int] = []
-    # Sixty requests a second with late responses: five in six are of the tenant over its quota.
+    # 60 requests per second with late responses; five in six are from the tenant over its quota.
     for number in range(200):
         tenant_index = int(number % 6 == 0)
         request_id = gateway.receive_request(tenant_index=tenant_index)
@@ -35,20 +35,20 @@
 
 
 def rejected_share(gateway: GatewayModel, request_ids: list[int]) -> float:
-    """The share of some requests that was rejected."""
+    """Share of the requests that were rejected."""
     responses = [gateway.final_responses.get(request_id) for request_id in request_ids]
     return responses.count(FinalResponse.REJECTED) / len(responses)
 
 
-def test_a_tenant_within_its_quota_may_send_short_bursts() -> None:
-    """With a credit of one request each pair that came together by chance counted as over quota."""
+def test_tenant_within_its_quota_may_send_short_bursts() -> None:
+    """Guards against a burst of one request, with which pairs that coincide by chance were over quota."""
     tenants = (Tenant("small", quota_per_s=10.0), Tenant("other", quota_per_s=10.0))
     gateway = GatewayModel(
         make_settings(tenants=tenants, over_quota_weight=0.1, replicas=20), make_entries(8)
     )
     gateway.balancer.load_shedder.missed_share = 1.0  # all requests over quota are shed
     gateway.balancer.endpoints.local_pool.limit = 9.0
-    # This gateway's part of the quota is half a request a second.
+    # This gateway's share of the quota is half a request per second.
     request_ids = [gateway.receive_request() for _ in range(4)]
     assert [attempt.request_id for attempt in gateway.attempts] == request_ids
     for _ in range(4):
@@ -56,7 +56,7 @@
     assert FinalResponse.REJECTED in gateway.final_responses.values()
 
 
-def test_tenants_change_in_place_and_keep_their_credit() -> None:
+def test_changed_tenants_keep_their_credit() -> None:
     settings = make_settings(tenants=(Tenant("a", quota_per_s=10.0), Tenant("b")), over_quota_weight=0.05)
     gateway = GatewayModel(settings, make_entries(4))
     serve_one_by_one(gateway, 4, 20 * MS, gap_ns=0)
@@ -67,25 +67,25 @@
     balancer.on_tenants(gateway.now, [(0, Tenant("a", 1000.0)), (1, Tenant("b", 5.0)), (2, Tenant("c", 3.0))])
     assert balancer.tenants.quotas[0] is first
     assert first.quota_per_s == 1000.0
-    # The credit since its last request is by the old quota.
+    # The credit gained since its last request is based on the old quota.
     assert before < first.credit <= before + 10.0 * 0.02 + 1e-9
     gateway.run_for(10 * SECOND)
     gateway.receive_request()
     assert first.credit == 2 * 1000.0 + 4 - 1
     balancer.on_tenants(gateway.now, [(0, Tenant("a", 1.0))])
     gateway.receive_request()
-    assert first.credit == 2 * 1.0 + 4 - 1  # cut to the largest burst under the new quota
+    assert first.credit == 2 * 1.0 + 4 - 1  # limited to the largest burst of the new quota
     request_id = gateway.receive_request(tenant_index=2)
     third = balancer.lifecycle.requests[request_id].tenant
     balancer.on_tenants(gateway.now, [(2, Tenant("")), (2, Tenant("d", 3.0))])
     assert third is not None
-    assert third is not balancer.tenants.quotas[2]  # another tenant begins with a credit of its own
+    assert third is not balancer.tenants.quotas[2]  # the new tenant starts with a credit of its own
     gateway.run_for(3 * SECOND)
     assert request_id in gateway.final_responses
     assert not gateway.violations
 
 
-def test_a_tenant_position_out_of_range_is_named_and_changes_nothing() -> None:
+def test_tenant_position_out_of_range_is_refused_without_changes() -> None:
     gateway = GatewayModel(make_settings(tenants=(Tenant("a"),)), [make_entry("h")])
     with pytest.raises(ValueError, match="tenant 1 "):
         gateway.receive_request(tenant_index=1)
--- a/tests/balancer/test_wait_queue.py
+++ b/tests/balancer/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for capacity."""
+"""Tests of the queue of requests that wait for capacity."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_entries_of_ended_requests_do_not_accumulate_in_the_wait_queue() -> None:
-    """Ended requests stayed in the heap for as long as one of higher priority waited above them."""
+    """Guards against a leak: ended requests stayed in the heap behind a waiting one of higher priority."""
     gateway = GatewayModel(make_settings())
     for _ in range(3000):
         gateway.receive_request(timeout_ns=20 * MS)
@@ -16,14 +16,14 @@
     assert gateway.balancer.wait_queue.heap_size < 100
 
 
-def test_no_request_overtakes_those_that_wait() -> None:
-    """A new request had a second draw for capacity, and overtook waiting requests of higher priority."""
+def test_new_requests_do_not_overtake_waiting_ones() -> None:
+    """Guards against a new request overtaking waiting ones of higher priority by a second random draw."""
     high = make_class(name="high", priority_weight=9.0)
     low = make_class(name="low", priority_weight=1.0)
     gateway = GatewayModel(make_settings(high, low), make_entries(4))
     serve_one_by_one(gateway, 20, 20 * MS)
     serve_one_by_one(gateway, 20, 20 * MS, class_index=1)
-    gateway.balancer.endpoints.local_pool.limit = 0.5  # capacity in every other draw
+    gateway.balancer.endpoints.local_pool.limit = 0.5  # each draw finds capacity with a probability of 0.5
     request_ids = [gateway.receive_request(class_index) for class_index in (0, 0, 1, 1, 1, 1, 1, 1)]
     sent = [attempt.request_id for attempt in gateway.attempts if attempt.request_id in request_ids]
     assert sent == request_ids[:1]
