--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -5,7 +5,7 @@
 from .idempotency import DeduplicationScope, Idempotency
 from .interface import Actions, AttemptResult, EventHandler, HealthCheckResult, IncomingRequest
 from .outcomes import NOT_PROCESSED, EndReason, Outcome
-from .settings import Goal, Limits, Prices, RequestClass, Rules, Settings, Tenant
+from .settings import Limits, RequestClass, Rules, ScorePenalties, ScoreWeights, Settings, Tenant
 from .units import MS, SECOND
 
 __all__ = [
@@ -21,15 +21,15 @@
     "EndpointId",
     "EndpointState",
     "EventHandler",
-    "Goal",
     "HealthCheckResult",
     "Idempotency",
     "IncomingRequest",
     "Limits",
     "Outcome",
-    "Prices",
     "RequestClass",
     "Rules",
+    "ScorePenalties",
+    "ScoreWeights",
     "Settings",
     "Tenant",
     "UpdateKind",
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -10,7 +10,7 @@
 from .idempotency import DeduplicationScope, Idempotency
 from .units import MS, SECOND
 
-__all__ = ["Goal", "Limits", "Prices", "RequestClass", "Rules", "Settings", "Tenant"]
+__all__ = ["Limits", "RequestClass", "Rules", "ScorePenalties", "ScoreWeights", "Settings", "Tenant"]
 
 
 def _require_positive(owner: str, **values: float) -> None:
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Goal:
+class ScoreWeights:
     """Weights of the components of the operators' score; all 0 if unknown."""
 
     overall: float = 0.0
@@ -174,7 +174,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class ScorePenalties:
     """Penalties in the operators' score, in units of the mean priority weight; 0 if unknown."""
 
     cross_zone: float = 0.0
@@ -215,8 +215,8 @@
     tenants: tuple[Tenant, ...] = ()
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
-    prices: Prices = field(default_factory=Prices)
-    goal: Goal = field(default_factory=Goal)
+    penalties: ScorePenalties = field(default_factory=ScorePenalties)
+    score_weights: ScoreWeights = field(default_factory=ScoreWeights)
     instance_number: int = 0
     """Index of this gateway among its replicas, from 0."""
     replicas: int = 1
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .idempotency import DeduplicationScope, Idempotency
-from .settings import Goal, Limits, Prices, RequestClass, Rules, Settings, Tenant
+from .settings import Limits, RequestClass, Rules, ScorePenalties, ScoreWeights, Settings, Tenant
 
 __all__ = ["SettingsError", "parse_settings", "parse_tenant"]
 
@@ -84,8 +84,8 @@
     )
 
 
-def _parse_prices(prices: JsonObject) -> Prices:
-    return Prices(
+def _parse_penalties(prices: JsonObject) -> ScorePenalties:
+    return ScorePenalties(
         cross_zone=float(prices.get("cross-zone", 0.0)),
         waste=float(prices.get("waste", 0.0)),
         health_check=float(prices.get("probe", 0.0)),
@@ -95,8 +95,8 @@
     )
 
 
-def _parse_goal(goal: JsonObject) -> Goal:
-    return Goal(
+def _parse_score_weights(goal: JsonObject) -> ScoreWeights:
+    return ScoreWeights(
         overall=float(goal.get("whole", 0.0)),
         worst_window=float(goal.get("worst-window", 0.0)),
         worst_class=float(goal.get("worst-class", 0.0)),
@@ -128,8 +128,8 @@
             tenants=tuple(parse_tenant(row, index) for index, row in enumerate(values.get("realms", ()))),
             limits=_parse_limits(values.get("caps", {})),
             rules=_parse_rules(values.get("rules", {})),
-            prices=_parse_prices(values.get("prices", {})),
-            goal=_parse_goal(values.get("goal", {})),
+            penalties=_parse_penalties(values.get("prices", {})),
+            score_weights=_parse_score_weights(values.get("goal", {})),
             weights=str(values.get("weights", "off")),
             machine_types=len(values.get("flavors", ())),
             clients_mark_retries=bool(values.get("callers", {}).get("marks-retry", False)),
--- a/tests/balancer/test_settings_parser.py
+++ b/tests/balancer/test_settings_parser.py
@@ -101,13 +101,13 @@
             }
         ).encode()
     )
-    limits, prices, goal = parsed.limits, parsed.prices, parsed.goal
+    limits, penalties, weights = parsed.limits, parsed.penalties, parsed.score_weights
     assert (limits.idle_timeout_ns, limits.streams_per_connection, limits.max_open_requests) == (7, 3, 9)
     assert (limits.cpu_us_per_s, limits.cpu_us_per_request, limits.connect_timeout_ns) == (8000, 1.5, 11)
-    assert (prices.cross_zone, prices.waste, prices.health_check) == (0.2, 0.1, 0.3)
-    assert (prices.handshake, prices.connection, prices.late_failure) == (0.4, 0.5, 0.6)
-    assert (goal.overall, goal.worst_window, goal.worst_class, goal.worst_tenant) == (0.1, 0.2, 0.3, 0.4)
-    assert (goal.nines, goal.top_nines) == (0.5, 2)
+    assert (penalties.cross_zone, penalties.waste, penalties.health_check) == (0.2, 0.1, 0.3)
+    assert (penalties.handshake, penalties.connection, penalties.late_failure) == (0.4, 0.5, 0.6)
+    assert (weights.overall, weights.worst_window, weights.worst_class, weights.worst_tenant) == (0.1, 0.2, 0.3, 0.4)
+    assert (weights.nines, weights.top_nines) == (0.5, 2)
     assert (parsed.tenants[0].quota_per_s, parsed.tenants[0].traffic_share, parsed.over_quota_weight) == (
         12,
         0.4,
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -1,4 +1,4 @@
-"""Tests of start times on the monotonic clock: a clock_error wall clock makes no endpoint look older."""
+"""Tests of start times on the monotonic clock: a wrong wall clock makes no endpoint look older."""
 
 from __future__ import annotations
 
