--- a/tests/balancer/test_settings_parser.py
+++ b/tests/balancer/test_settings_parser.py
@@ -106,7 +106,12 @@
     assert (limits.cpu_us_per_s, limits.cpu_us_per_request, limits.connect_timeout_ns) == (8000, 1.5, 11)
     assert (penalties.cross_zone, penalties.waste, penalties.health_check) == (0.2, 0.1, 0.3)
     assert (penalties.handshake, penalties.connection, penalties.late_failure) == (0.4, 0.5, 0.6)
-    assert (weights.overall, weights.worst_window, weights.worst_class, weights.worst_tenant) == (0.1, 0.2, 0.3, 0.4)
+    assert (weights.overall, weights.worst_window, weights.worst_class, weights.worst_tenant) == (
+        0.1,
+        0.2,
+        0.3,
+        0.4,
+    )
     assert (weights.nines, weights.top_nines) == (0.5, 2)
     assert (parsed.tenants[0].quota_per_s, parsed.tenants[0].traffic_share, parsed.over_quota_weight) == (
         12,
