--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -1,6 +1,6 @@
-"""`Settings` from the JSON object that the gateway's configuration and the simulator send.
+"""Parses `Settings` from the JSON object in the gateway's configuration and the simulator's messages.
 
-The keys are those of the operators' pages; unknown ones are ignored, and most missing ones take a default.
+The key names are set by the operators. Unknown keys are ignored; most missing keys take a default.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from typing import Any
 
 from .idempotency import DeduplicationScope, Idempotency
-from .settings import Goal, Limits, Prices, RequestClass, Rules, Settings, Tenant
+from .settings import Limits, RequestClass, Rules, ScorePenalties, ScoreWeights, Settings, Tenant
 
 __all__ = ["SettingsError", "parse_settings", "parse_tenant"]
 
 JsonObject = dict[str, Any]
-"""A JSON object whose values are checked where they are read."""
+"""A JSON object whose values have not been validated yet."""
 
 _IDEMPOTENCY = {
     "read_like": Idempotency.SAFE,
@@ -32,7 +32,7 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that is malformed, or has a value that makes no sense."""
+    """A settings object is malformed or has an invalid value."""
 
 
 def _parse_classes(rows: list[JsonObject]) -> tuple[RequestClass, ...]:
@@ -84,8 +84,8 @@
     )
 
 
-def _parse_prices(prices: JsonObject) -> Prices:
-    return Prices(
+def _parse_penalties(prices: JsonObject) -> ScorePenalties:
+    return ScorePenalties(
         cross_zone=float(prices.get("cross-zone", 0.0)),
         waste=float(prices.get("waste", 0.0)),
         health_check=float(prices.get("probe", 0.0)),
@@ -95,8 +95,8 @@
     )
 
 
-def _parse_goal(goal: JsonObject) -> Goal:
-    return Goal(
+def _parse_score_weights(goal: JsonObject) -> ScoreWeights:
+    return ScoreWeights(
         overall=float(goal.get("whole", 0.0)),
         worst_window=float(goal.get("worst-window", 0.0)),
         worst_class=float(goal.get("worst-class", 0.0)),
@@ -107,16 +107,16 @@
 
 
 def parse_tenant(row: JsonObject, index: int) -> Tenant:
-    """A tenant from its row of `realms`; one without a name is named by its position, `index`."""
+    """Parse a tenant from its row of `realms`; the name defaults to `index`, its position."""
     return Tenant(
         str(row.get("name", index)), float(row.get("allowance-per-s", 0.0)), float(row.get("portion", 0.0))
     )
 
 
 def parse_settings(text: bytes) -> Settings:
-    """The settings of a gateway from a JSON object in UTF-8.
+    """Parse the settings of a gateway from a JSON object in UTF-8.
 
-    Raises `SettingsError` for one that is malformed or has a value that makes no sense.
+    Raises `SettingsError` if the object is malformed or has an invalid value.
     """
     try:
         values = json.loads(text)
@@ -128,8 +128,8 @@
             tenants=tuple(parse_tenant(row, index) for index, row in enumerate(values.get("realms", ()))),
             limits=_parse_limits(values.get("caps", {})),
             rules=_parse_rules(values.get("rules", {})),
-            prices=_parse_prices(values.get("prices", {})),
-            goal=_parse_goal(values.get("goal", {})),
+            penalties=_parse_penalties(values.get("prices", {})),
+            score_weights=_parse_score_weights(values.get("goal", {})),
             weights=str(values.get("weights", "off")),
             machine_types=len(values.get("flavors", ())),
             clients_mark_retries=bool(values.get("callers", {}).get("marks-retry", False)),
--- a/tests/balancer/test_settings_parser.py
+++ b/tests/balancer/test_settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings parser: every key of the wire reaches its field, and what makes no sense is malformed."""
+"""Tests of the settings parser: each key sets its field, and invalid values are reported as malformed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 }
 
 
-def test_settings_are_read_and_unknown_keys_passed_over() -> None:
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
     settings = parse_settings(json.dumps(SETTINGS).encode())
     assert (settings.zone, settings.zones, settings.replicas) == (1, 2, 3)
     assert settings.classes[0].idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -54,12 +54,12 @@
         {"my-number": -1},
     ],
 )
-def test_bad_settings_are_malformed(change: dict[str, Any]) -> None:
+def test_invalid_settings_are_malformed(change: dict[str, Any]) -> None:
     with pytest.raises(SettingsError):
         parse_settings(json.dumps(SETTINGS | change).encode())
 
 
-def test_every_setting_of_the_wire_reaches_its_field() -> None:
+def test_each_key_sets_its_field() -> None:
     parsed = parse_settings(
         json.dumps(
             SETTINGS
@@ -101,13 +101,18 @@
             }
         ).encode()
     )
-    limits, prices, goal = parsed.limits, parsed.prices, parsed.goal
+    limits, penalties, weights = parsed.limits, parsed.penalties, parsed.score_weights
     assert (limits.idle_timeout_ns, limits.streams_per_connection, limits.max_open_requests) == (7, 3, 9)
     assert (limits.cpu_us_per_s, limits.cpu_us_per_request, limits.connect_timeout_ns) == (8000, 1.5, 11)
-    assert (prices.cross_zone, prices.waste, prices.health_check) == (0.2, 0.1, 0.3)
-    assert (prices.handshake, prices.connection, prices.late_failure) == (0.4, 0.5, 0.6)
-    assert (goal.overall, goal.worst_window, goal.worst_class, goal.worst_tenant) == (0.1, 0.2, 0.3, 0.4)
-    assert (goal.nines, goal.top_nines) == (0.5, 2)
+    assert (penalties.cross_zone, penalties.waste, penalties.health_check) == (0.2, 0.1, 0.3)
+    assert (penalties.handshake, penalties.connection, penalties.late_failure) == (0.4, 0.5, 0.6)
+    assert (weights.overall, weights.worst_window, weights.worst_class, weights.worst_tenant) == (
+        0.1,
+        0.2,
+        0.3,
+        0.4,
+    )
+    assert (weights.nines, weights.top_nines) == (0.5, 2)
     assert (parsed.tenants[0].quota_per_s, parsed.tenants[0].traffic_share, parsed.over_quota_weight) == (
         12,
         0.4,
