--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the sockets, timers and tables with which a `balancer` runs as a process."""
+"""The gateway process: sockets, timers and tables around the `balancer`, which makes the decisions."""
--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gateway`: run one gateway, as its environment and its configuration file say."""
+"""`python -m gateway`: run one gateway, configured by its environment and its configuration file."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 log = logging.getLogger("gateway")
 
-LINES_PER_S = 10
-"""Log lines a second: an attacker must not make the gateway spend its time on writing."""
+MAX_LOG_LINES_PER_S = 10
+"""Limit on log lines per second, so that an attacker cannot make the gateway spend its time on logging."""
 EXIT_BAD_CONFIGURATION = 2
 
 
 class LogRateLimit(logging.Filter):
-    """Passes `LINES_PER_S` lines a second, and all lines of loggers that have a limit of their own."""
+    """Drops log lines beyond `MAX_LOG_LINES_PER_S`, except those of loggers that limit their own rate."""
 
-    SELF_LIMITED = ("gateway.stats", "gateway.trace")
+    EXEMPT_LOGGERS = ("gateway.stats", "gateway.trace")
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,14 +35,14 @@
         self._count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line is written."""
-        if record.name in self.SELF_LIMITED:
+        """Whether the record is written."""
+        if record.name in self.EXEMPT_LOGGERS:
             return True
-        second = now_ns() // SECOND  # not the wall clock, which may be set back
+        second = now_ns() // SECOND  # monotonic: the wall clock may be set back
         if second != self._second:
             self._second, self._count = second, 0
         self._count += 1
-        return self._count <= LINES_PER_S
+        return self._count <= MAX_LOG_LINES_PER_S
 
 
 async def _run(configuration: Configuration) -> None:
@@ -50,17 +50,17 @@
 
 
 def main() -> int:
-    """Run as a program; its exit code is 0 after SIGTERM, 2 if the configuration can't be used."""
+    """Run the gateway; returns the exit code: 0 after SIGTERM, 2 if the configuration is not valid."""
     handler = logging.StreamHandler()
     handler.addFilter(LogRateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s %(message)s")
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a handler it would end the process
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the handler is set: the default ends the process
     try:
         configuration = Configuration.read(os.environ)
     except ConfigurationError as error:
         print(f"gateway: EDGE_CONFIG: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
-    gc.freeze()  # what is loaded by now stays until the end: the collector need not look at it
+    gc.freeze()  # objects loaded so far live until exit, so the collector can skip them
     gc.set_threshold(50_000, 20, 50)
     uvloop.run(_run(configuration))
     return 0
--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a gateway: its environment and its JSON file."""
+"""The configuration of a gateway, from environment variables and a JSON file."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 64
-EMPTY_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
-"""The cached endpoint list of a file that has none."""
+EMPTY_ENDPOINT_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+"""The cached endpoint list when the configuration file contains none."""
 
 
 @dataclass
 class Configuration:
-    """What a file and the environment say; the attributes of a gateway that is about to start."""
+    """The parsed configuration file, with the overrides of the environment."""
 
     listen_address: Address
     discovery_address: Address
     seed: int
-    """Starts the balancer's random numbers."""
+    """Seed of the balancer's random number generator."""
     max_sockets: int
-    """Descriptors that the operators allow the process."""
-    max_memory: int
-    """Bytes of memory that they allow it."""
+    """Upper limit on the file descriptors of the process."""
+    max_memory_bytes: int
+    """Upper limit on the memory of the process."""
     cached_list: Any
-    """The endpoint list as it was known before the start: a JSON object of discovery, not checked yet."""
+    """The last known endpoint list: a JSON object in the format of discovery, not yet validated."""
     version: int | None
-    """Rises with each file that the operators write; None where they do not count."""
+    """Version number of the file, which increases with each change; None if the file has none."""
     settings: Settings
-    """The balancer's settings, without tenants where the file was read in steps."""
+    """Settings of the balancer; `tenants` is empty when the file was read by `read_in_steps`."""
     zones: list[str]
     machine_types: list[str]
     load_report_columns: list[str]
     peers: list[Address]
-    """Gossip goes to these gateways."""
+    """Addresses of the gateways that receive gossip."""
     broadcast_address: Address | None
-    """Gossip for all gateways goes here."""
+    """Destination of gossip for all gateways."""
     gossip_address: Address | None
-    """Gossip is received here."""
+    """Local address on which gossip is received."""
     rows: list[Raw]
-    """The tenants as they stand in the file, not decoded."""
+    """The tenants in the order of the file, as raw JSON."""
 
     @classmethod
     def read(cls, environ: Mapping[str, str]) -> Configuration:
-        """At the start: all of it at once, `settings.tenants` too.  Raises ConfigurationError."""
+        """Read the complete file at once, including `settings.tenants`.  Raises ConfigurationError."""
         steps = cls.read_in_steps(environ)
         while True:
             try:
@@ -76,9 +76,9 @@
     def read_in_steps(
         cls, environ: Mapping[str, str], is_reload: bool = False
     ) -> Generator[None, None, Configuration]:
-        """Read the file, all but its tenants' rows; each step is for one turn of the event loop.
+        """Read the file without decoding its tenant rows; each step takes one turn of the event loop.
 
-        At a reload the file's address of discovery is newer than that of the environment.
+        On a reload, the discovery address in the file takes precedence over EDGE_DISCOVERY, as it is newer.
 
         Raises ConfigurationError.
         """
@@ -109,16 +109,16 @@
         environ: Mapping[str, str],
         is_reload: bool,
     ) -> Configuration:
-        """The fields in the order in which their errors are found: the first is the one that is reported."""
-        own_discovery = None if is_reload else environ.get("EDGE_DISCOVERY")
+        """Parse the fields in the order in which their errors take precedence: only the first is reported."""
+        discovery_override = None if is_reload else environ.get("EDGE_DISCOVERY")
         limits = sections.get("limits", {})
         return cls(
             listen_address=_parse_address(environ.get("EDGE_LISTEN") or sections["listen"]),
-            discovery_address=_parse_address(own_discovery or sections["discovery"]),
+            discovery_address=_parse_address(discovery_override or sections["discovery"]),
             seed=int(str(sections.get("seed", "0")), 16),
             max_sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
-            max_memory=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)) << 20,
-            cached_list=sections.get("known", EMPTY_LIST),
+            max_memory_bytes=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)) << 20,
+            cached_list=sections.get("known", EMPTY_ENDPOINT_LIST),
             version=_parse_version(sections.get("version")),
             settings=parse_settings(msgspec.json.encode(settings)),
             zones=[str(name) for name in settings.get("zones", ())],
@@ -130,17 +130,17 @@
             rows=rows,
         )
 
-    def changes_that_need_restart(self, before: Configuration) -> list[str]:
-        """Names of what differs from the configuration in force and can't change in place."""
-        fixed_before = before.fixed_values()
-        return [name for name, value in self.fixed_values().items() if fixed_before[name] != value]
+    def changes_that_need_restart(self, current: Configuration) -> list[str]:
+        """Names of the settings that differ from `current` and take effect only on a restart."""
+        current_values = current.fixed_values()
+        return [name for name, value in self.fixed_values().items() if current_values[name] != value]
 
     def fixed_values(self) -> dict[str, object]:
-        """What can't change while a gateway runs, by its name in the file."""
+        """The values that cannot change while a gateway runs, by their name in the file."""
         settings = self.settings
         return {
             "listen": self.listen_address,
-            "limits": (self.max_sockets, self.max_memory),
+            "limits": (self.max_sockets, self.max_memory_bytes),
             "az": settings.zone,
             "zones": self.zones,
             "flavors": self.machine_types,
@@ -149,7 +149,9 @@
             "round-ns": settings.tick_ns,
             "my-number": settings.instance_number,
             "peers": (self.peers, self.broadcast_address, self.gossip_address, settings.limits.gossip),
-            "request-classes": sorted((item.name, item.idempotency.value) for item in settings.classes),
+            "request-classes": sorted(
+                (request_class.name, request_class.idempotency.value) for request_class in settings.classes
+            ),
             "caps.dial-timeout-ns": settings.limits.connect_timeout_ns,
             "caps.conn-idle-ns": settings.limits.idle_timeout_ns,
             "caps.open-cap": settings.limits.max_open_requests,
@@ -160,7 +162,7 @@
 def _parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no address")
+        raise ValueError(f"{text!r} is not a valid host:port address")
     return host.strip("[]"), int(port)
 
 
@@ -169,6 +171,6 @@
 
 
 def _parse_version(version: object) -> int | None:
-    if version is None or type(version) is int:  # a bool is an int to isinstance
+    if version is None or type(version) is int:  # isinstance would also accept a bool
         return version
-    raise ValueError(f"version must be a whole number, not {version!r}")
+    raise ValueError(f"version must be an integer, not {version!r}")
--- a/gateway/configuration_error.py
+++ b/gateway/configuration_error.py
@@ -1,4 +1,4 @@
-"""The error for a configuration that can't be used."""
+"""The error for a configuration that is not valid."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class ConfigurationError(Exception):
-    """A configuration that can't be used; the text says what is wrong with it, on one line."""
+    """The configuration is not valid; the message states the reason on one line."""
 
 
 @contextmanager
 def as_configuration_error() -> Generator[None, None, None]:
-    """Turn whatever the reading of a file raises into ConfigurationError."""
+    """Convert any exception raised by reading or parsing a file into ConfigurationError."""
     try:
         yield
     except KeyError as error:
--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts, wired together."""
+"""Composition of one gateway from its components."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .dispatcher import BalancerFactory, Dispatcher
 from .gossip import GossipSocket
 from .loop_monitor import LoopMonitor
-from .reload import ConfigurationReload
+from .reload import ConfigurationReloader
 from .resource_budget import ResourceBudget
 from .shutdown import GracefulShutdown
 from .timers import Timers, now_ns
@@ -26,11 +26,11 @@
 log = logging.getLogger("gateway")
 
 SWEEP = 250 * MS
-"""Time between two looks at all connections, ns; what they may do for long is bounded to within so much."""
+"""Interval of the sweep over all connections, ns; their time limits are enforced with this precision."""
 
 
 class Gateway:
-    """The parts of one gateway."""
+    """Creates the components of one gateway, starts them and shuts them down."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         make_balancer: BalancerFactory = Balancer,
     ) -> None:
         settings = configuration.settings
-        budget = ResourceBudget.divide(configuration.max_sockets, configuration.max_memory)
+        budget = ResourceBudget.divide(configuration.max_sockets, configuration.max_memory_bytes)
         self._loop = loop
         self.timers = Timers(loop)
         self.dispatcher = Dispatcher(
@@ -82,10 +82,10 @@
         self.shutdown = GracefulShutdown(
             self.timers, self._listener, self.server, self.dispatcher, settings, self._close
         )
-        # The table has the tenants from here on: a copy of many would only take memory.
+        # `tenants` now holds the tenants; a second copy of a long list would only waste memory.
         configuration.settings = replace(settings, tenants=())
         configuration.rows = []
-        self.configuration_reload = ConfigurationReload(
+        self.configuration_reloader = ConfigurationReloader(
             loop,
             configuration,
             tenants,
@@ -96,8 +96,8 @@
         )
 
     async def start(self) -> Address:
-        """Listen and begin to follow discovery; returns the address on which it listens."""
-        configuration = self.configuration_reload.configuration
+        """Open the listener and subscribe to discovery; returns the listener's address."""
+        configuration = self.configuration_reloader.configuration
         self.discovery.load_cached_list(configuration.cached_list)
         self.discovery.start()
         address = self._listener.start(configuration.listen_address)
@@ -107,35 +107,35 @@
         return address
 
     async def _open_gossip_socket(self, configuration: Configuration) -> None:
-        own_address = configuration.gossip_address
-        if not configuration.settings.limits.gossip or own_address is None:
+        local_address = configuration.gossip_address
+        if not configuration.settings.limits.gossip or local_address is None:
             return
         gossip_socket = GossipSocket(
             configuration.peers, configuration.broadcast_address, self.dispatcher.on_gossip
         )
         self.dispatcher.gossip_socket = gossip_socket
-        await self._loop.create_datagram_endpoint(lambda: gossip_socket, own_address)
+        await self._loop.create_datagram_endpoint(lambda: gossip_socket, local_address)
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, and end gracefully."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self.stop)
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self.stop)
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
         await self._ended.wait()
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration file anew."""
-        self.configuration_reload.start()
+        """Handle SIGHUP: reload the configuration file."""
+        self.configuration_reloader.start()
 
     def stop(self) -> None:
-        """SIGTERM: begin a graceful shutdown."""
+        """Handle SIGTERM or SIGINT: begin a graceful shutdown."""
         self.shutdown.begin()
 
     def _sweep(self, _: None) -> None:
         try:
             self._sweep_once(now_ns())
-        finally:  # a fault at one connection ends this sweep, and must not end those that follow
+        finally:  # an exception at one connection must not prevent later sweeps
             self.timers.call_after(SWEEP, self._sweep, None)
 
     def _sweep_once(self, now: int) -> None:
--- a/gateway/gossip.py
+++ b/gateway/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: datagrams between gateways, where the settings allow them."""
+"""Gossip between gateways by UDP datagrams, if the settings enable it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 log = logging.getLogger("gateway.gossip")
 
-MAX_CONTENT = 256
-"""Longest message, bytes."""
+MAX_MESSAGE_BYTES = 256
+"""Maximum length of a gossip message, bytes; longer ones are dropped."""
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """The gateway's UDP socket.  A sender is known by its address; datagrams of others are dropped."""
+    """The gateway's UDP socket; datagrams from addresses that are not in `peers` are dropped."""
 
     def __init__(
         self,
@@ -26,36 +26,36 @@
         broadcast_address: Address | None,
         on_gossip: Callable[[int, bytes], None],
     ) -> None:
-        """`on_gossip` is called with the position of the sender in `peers` and the message."""
+        """`on_gossip` is called with the sender's index in `peers` and the message."""
         self._peers = peers
-        self._numbers = {address: number for number, address in enumerate(peers)}
+        self._peer_indexes = {address: index for index, address in enumerate(peers)}
         self._broadcast_address = broadcast_address
         self._on_gossip = on_gossip
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
-        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop has its own kind
+        """Store the transport of the open socket."""
+        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop's transports have another base
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        """A datagram has come; IPv6 addresses have more than a host and a port."""
-        number = self._numbers.get(cast(Address, addr[:2]))
-        if number is not None and len(data) <= MAX_CONTENT:
-            self._on_gossip(number, data)
+        """Handle a datagram; IPv6 addresses have further elements after host and port."""
+        peer = self._peer_indexes.get(cast(Address, addr[:2]))
+        if peer is not None and len(data) <= MAX_MESSAGE_BYTES:
+            self._on_gossip(peer, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram could not be delivered."""
-        log.info("a message to a peer was lost: %s", exc)
+        """Log a datagram that could not be delivered."""
+        log.info("gossip datagram could not be delivered: %s", exc)
 
     def send(self, peer: int | None, content: bytes) -> None:
-        """Send to one peer, or to all with None; drops and logs what is too long or has no receiver."""
-        receiver = self._receiver(peer)
-        if self._transport is None or receiver is None or len(content) > MAX_CONTENT:
-            log.error("a message to peer %s can't be sent", peer)
+        """Send to one peer, or to all with None; logs and drops a message too long or without an address."""
+        destination = self._destination(peer)
+        if self._transport is None or destination is None or len(content) > MAX_MESSAGE_BYTES:
+            log.error("gossip message to peer %s cannot be sent", peer)
         else:
-            self._transport.sendto(content, receiver)
+            self._transport.sendto(content, destination)
 
-    def _receiver(self, peer: int | None) -> Address | None:
+    def _destination(self, peer: int | None) -> Address | None:
         if peer is None:
             return self._broadcast_address
         return self._peers[peer] if 0 <= peer < len(self._peers) else None
--- a/gateway/load_report.py
+++ b/gateway/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: the figures about its load that an endpoint sends with a response."""
+"""Parser of load reports: the load metrics that an endpoint sends with its responses."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 __all__ = ["LoadReportParser"]
 
-MAX_FIGURE = 1e9
-"""A report with a larger figure is not used: no machine has such a load."""
+MAX_VALUE = 1e9
+"""Reports with a larger value are discarded: no machine reaches such a load."""
 
 
 class LoadReportParser:
-    """Reads load reports, which are JSON objects.
+    """Parses load reports, which are JSON objects.
 
-    A column is looked up by its name in the settings file (`columns`), then by the name that the balancer has
-    for it (`field_names`).
+    Each value is looked up by its name in the settings file (`columns`), then by the balancer's name for it
+    (`field_names`).
     """
 
     def __init__(self, columns: Sequence[str], field_names: Sequence[str]) -> None:
         self.columns = list(zip(columns, field_names, strict=False))
 
     def read(self, text: bytes) -> tuple[float, ...]:
-        """The figures in the order of the columns; empty where the report is absent or malformed."""
+        """The values in the order of the columns; empty if the report is missing or invalid."""
         if not self.columns or not text:
             return ()
         try:
             report = json.loads(text)
-            figures = tuple(
+            values = tuple(
                 float(report[column] if column in report else report[field_name])
                 for column, field_name in self.columns
             )
         except (ValueError, KeyError, TypeError, OverflowError, RecursionError):
             return ()
-        return figures if all(0 <= figure <= MAX_FIGURE for figure in figures) else ()
+        return values if all(0 <= value <= MAX_VALUE for value in values) else ()
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the client side, the dispatcher and the endpoint side pass them to one another."""
+"""HTTP messages as passed between the client side, the dispatcher and the upstream side."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ]
 
 MAX_BODY = 64 * 1024
-"""Longest body of a message, bytes."""
+"""Maximum length of a message body, bytes."""
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -34,33 +34,34 @@
         b"proxy-connection",
     )
 )
-"""Headers that concern one connection (RFC 9110, 7.6.1), or that the gateway writes itself; in lower case."""
+"""Headers that are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1) and those that the gateway generates
+itself; in lower case."""
 LOAD_REPORT_HEADER = b"x-server-load"
-"""Header of a response that carries the endpoint's load report; in lower case."""
+"""Response header with the endpoint's load report; in lower case."""
 
 Header = tuple[bytes, bytes]
-"""Name and value of a header, as they were sent."""
+"""Name and value of a header, as received."""
 
 
 class Payload(NamedTuple):
-    """A request as it is forwarded."""
+    """The bytes of a request that is forwarded to an endpoint."""
 
     head: bytes
-    """Request line and headers, without the timeout header and the empty line that each attempt adds."""
+    """Request line and headers, without the timeout header and the empty line, which each attempt adds."""
     body: bytes
 
     @property
     def size(self) -> int:
-        """Its length, bytes."""
+        """Total length, bytes."""
         return len(self.head) + len(self.body)
 
 
 NO_PAYLOAD = Payload(b"", b"")
-"""Takes the place of a payload that is no longer needed, so that its memory is free."""
+"""Replaces a payload that is no longer needed, to release its memory."""
 
 
 class Response(NamedTuple):
-    """A complete response of an endpoint."""
+    """A complete response from an endpoint."""
 
     status: int
     headers: list[Header]
@@ -69,30 +70,30 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A valid request of a client."""
+    """A validated client request."""
 
     request_id: bytes
-    """X-Request-ID, which is the same at all gateways."""
+    """Value of X-Request-ID, which identifies the request at all gateways."""
     class_index: int
-    """Position in `Settings.classes`."""
+    """Index in `Settings.classes`."""
     tenant_index: int
-    """Position in `Settings.tenants`; 0 where there are none."""
+    """Slot of the tenant in the quota table; 0 if no tenants are configured."""
     routing_key: int
-    """What the request is about; 0 where it does not say."""
+    """Routing key of the request for cache affinity; 0 if it has none."""
     timeout_ns: int
-    """Time that the client waits for it, from its arrival."""
+    """Time that the client waits for the response, from the arrival of the request."""
     cost_hint_ns: int
-    """Work that the client expects of it; 0 where it does not say."""
+    """Cost hint of the client: the expected work; 0 if it gave none."""
     is_retry: bool
-    """Whether the client has sent it before."""
+    """Whether the client marked the request as a retry of its own."""
     is_write: bool
-    """Whether the client says that it changes something."""
+    """Whether the client marked the request as a write."""
     payload: Payload
 
 
 def field_value(text: bytes | None) -> bytes:
-    """The value of a header without the white space around it (RFC 9110, 5.5).
+    """The header value without surrounding white space (RFC 9110, 5.5), which httptools may leave.
 
-    httptools leaves some of it.  A missing value counts as an empty one.
+    A missing value is treated as empty.
     """
     return text.strip(b" \t") if text else b""
--- a/gateway/reload.py
+++ b/gateway/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration file is read anew and put in force while requests are served."""
+"""Reload of the configuration file on SIGHUP, while requests are being served."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from .tenant_table import TenantDifference
 from .timers import now_ns
 
-__all__ = ["ConfigurationReload", "ReloadState"]
+__all__ = ["ConfigurationReloader", "ReloadState"]
 
 log = logging.getLogger("gateway")
 
 
 class ReloadState(Enum):
-    """What a reload is doing.
+    """State of the reload.
 
-    IDLE -> READING -> COMPARING -> APPLYING -> IDLE, or back to IDLE from each of them.  A signal during
-    READING and COMPARING leads to READING; one during APPLYING to APPLYING_WITH_NEXT, and from there to
-    READING.
+    IDLE -> READING -> COMPARING -> APPLYING -> IDLE; each state returns to IDLE on an error.  A SIGHUP during
+    READING or COMPARING restarts at READING.  A SIGHUP during APPLYING leads to APPLYING_WITH_NEXT, and from
+    there to READING.
     """
 
     IDLE = "idle"
@@ -35,16 +35,16 @@
     COMPARING = "comparing"
     APPLYING = "applying"
     APPLYING_WITH_NEXT = "applying_with_next"
-    """As APPLYING; a signal has come meanwhile, so that another reload follows."""
+    """Like APPLYING, but another SIGHUP has arrived: a second reload follows."""
 
     @property
     def is_applying(self) -> bool:
-        """Whether changes are being put in force, which is not broken off."""
+        """Whether changes are being applied, which is never interrupted."""
         return self in (ReloadState.APPLYING, ReloadState.APPLYING_WITH_NEXT)
 
 
-class ConfigurationReload:
-    """Reads and applies configurations in steps, between which requests are served."""
+class ConfigurationReloader:
+    """Reads and applies configuration files in steps, so that requests are served in between."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         discovery: Discovery,
         on_settings: Callable[[Settings], None],
     ) -> None:
-        """`on_settings` is called with settings that come into force, before the client side gets them."""
+        """`on_settings` is called with new settings before `server` gets them."""
         self._loop = loop
         self.configuration = configuration
-        """What is in force."""
+        """The current configuration."""
         self.tenants = tenants
         self.state = ReloadState.IDLE
         self._server = server
@@ -69,10 +69,10 @@
         self._steps: Steps | None = None
 
     def start(self) -> None:
-        """Read the file; one that is bad or older than what is in force changes nothing.
+        """Start a reload; an invalid file, or one with an older version, changes nothing.
 
-        What is being read when the next signal comes is dropped for the newer file; what is being applied by
-        then is first applied completely.
+        A reload that is still reading or comparing is restarted with the newer file.  A reload that is
+        already applying changes is completed first.
         """
         if self.state.is_applying:
             self.state = ReloadState.APPLYING_WITH_NEXT
@@ -92,55 +92,55 @@
         except ConfigurationError as error:
             log.error("EDGE_CONFIG: %s; the old configuration stays", error)
             self._end()
-        except Exception:  # else no later signal would have an effect
-            log.exception("EDGE_CONFIG could not be put in force")
+        except Exception:  # without this, later signals would have no effect
+            log.exception("EDGE_CONFIG could not be applied")
             self._end()
         else:
             self._loop.call_soon(self._run_step)
 
     def _end(self) -> None:
-        has_next = self.state is ReloadState.APPLYING_WITH_NEXT
+        is_reload_pending = self.state is ReloadState.APPLYING_WITH_NEXT
         self.state = ReloadState.IDLE
         self._steps = None
-        if has_next:
+        if is_reload_pending:
             self.start()
 
     def _reload(self) -> Steps:
-        """Everything is read and checked before the first change; then the difference is applied."""
-        begun_ns = now_ns()
+        """Read and validate the complete file, then apply the difference."""
+        started_ns = now_ns()
         configuration = yield from Configuration.read_in_steps(os.environ, is_reload=True)
-        before = self.configuration
-        self._check_version(configuration, before)
+        current = self.configuration
+        self._check_version(configuration, current)
         self.state = ReloadState.COMPARING
         difference = yield from self.tenants.compare(configuration.rows)
         configuration.rows = []
-        # Also where the rest needs a restart: a new address does not.
+        # The discovery address changes without a restart, even if other changes in the file require one.
         self._discovery.move_to(configuration.discovery_address)
-        if names := configuration.changes_that_need_restart(before):
+        if names := configuration.changes_that_need_restart(current):
             log.error(
                 "EDGE_CONFIG: %s: a change needs a restart; the settings in force stay", ", ".join(names)
             )
             return
         self.state = ReloadState.APPLYING
         self.configuration = configuration
-        if configuration.settings != before.settings:
+        if configuration.settings != current.settings:
             self._on_settings(configuration.settings)
             self._server.on_settings(configuration.settings)
         yield from self.tenants.apply(difference, self._dispatcher.on_tenants)
-        self._log_result(difference, begun_ns)
+        self._log_result(difference, started_ns)
 
     @staticmethod
-    def _check_version(configuration: Configuration, before: Configuration) -> None:
-        version, version_before = configuration.version, before.version
-        if version is not None and version_before is not None and version < version_before:
-            raise ConfigurationError(f"version {version} is older than {version_before}")
+    def _check_version(configuration: Configuration, current: Configuration) -> None:
+        version, current_version = configuration.version, current.version
+        if version is not None and current_version is not None and version < current_version:
+            raise ConfigurationError(f"version {version} is older than {current_version}")
 
     @staticmethod
-    def _log_result(difference: TenantDifference, begun_ns: int) -> None:
+    def _log_result(difference: TenantDifference, started_ns: int) -> None:
         log.info(
             "settings in force: %d tenants added, %d changed, %d removed, in %d ms",
             len(difference.added),
             len(difference.changed),
             len(difference.removed),
-            (now_ns() - begun_ns) // MS,
+            (now_ns() - started_ns) // MS,
         )
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: a gateway serves what is open and what still comes, and then ends."""
+"""Graceful shutdown on SIGTERM: serves open requests and late arrivals, then ends the process."""
 
 from __future__ import annotations
 
@@ -14,60 +14,63 @@
 
 __all__ = ["GracefulShutdown", "ShutdownPhase", "ShutdownSchedule"]
 
-ACCEPT_TIME = 600 * MS
-"""Clients go on connecting for 0.4 s at most after SIGTERM; they are accepted for somewhat longer, ns."""
-MAX_SERVE_TIME = 1500 * MS
-"""Clients are served so long after SIGTERM, ns, on the connections that they have: another gateway that was
-stopped before may not be back yet."""
-MAX_TIME = 3200 * MS
-"""The process ends so long after SIGTERM, ns, whatever is still open."""
-KILL_MARGIN = 400 * MS
-"""It ends so much after the longest deadline, ns, if that is sooner: SIGKILL comes 0.7 s after that deadline,
-which is 3 s at most."""
-LAST_REQUEST_MARGIN = 800 * MS
-"""Time between the last request that is admitted and the end, ns."""
-CHECK_INTERVAL = 20 * MS
-"""Time between two checks whether all is served, ns."""
+ACCEPT_TIME_NS = 600 * MS
+"""Time after SIGTERM in which connections are accepted, ns: clients keep connecting for up to 0.4 s."""
+MAX_SERVE_TIME_NS = 1500 * MS
+"""Longest time after SIGTERM in which requests on open connections are served, ns: in a rolling restart the
+gateway that was stopped before may not be ready yet."""
+MAX_SHUTDOWN_TIME_NS = 3200 * MS
+"""Time from SIGTERM to the end of the process, ns, even if requests are still open."""
+DEADLINE_MARGIN_NS = 400 * MS
+"""Time from the longest request deadline to the end of the process, ns, if that comes before
+`MAX_SHUTDOWN_TIME_NS`: SIGKILL follows 0.7 s after that deadline, which is at most 3 s."""
+LAST_REQUEST_MARGIN_NS = 800 * MS
+"""Time from the last admitted request to the end of the process, ns."""
+CHECK_INTERVAL_NS = 20 * MS
+"""Interval of the checks whether all connections are closed, ns."""
 
 
 class ShutdownPhase(Enum):
-    """The phases of a shutdown, in their order."""
+    """Phases of a shutdown, in order."""
 
     RUNNING = "running"
-    """No shutdown has begun."""
+    """No shutdown is in progress."""
     ACCEPTING = "accepting"
-    """Health checks fail, and connections on which nothing else has come are closed; new ones still come."""
+    """Health checks fail, connections that carried only health checks are closed, new ones are accepted."""
     SERVING = "serving"
-    """No new connections; requests on open ones are still admitted."""
+    """No new connections are accepted; requests on open connections are still admitted."""
     DRAINING = "draining"
-    """Each connection closes once it has no request open."""
+    """Each connection is closed as soon as it has no open request."""
     OVERDUE = "overdue"
-    """What is still open fails, and the process ends."""
+    """Requests that are still open fail, and the process ends."""
     ENDED = "ended"
 
 
 class ShutdownSchedule(NamedTuple):
-    """When the phases begin, ns after SIGTERM."""
+    """Start of the phases, ns after SIGTERM."""
 
     draining_ns: int
     overdue_ns: int
 
     @classmethod
-    def of(cls, settings: Settings) -> ShutdownSchedule:
-        """The schedule for these deadlines."""
-        overdue_ns = min(MAX_TIME, max(item.deadline_ns for item in settings.classes) + KILL_MARGIN)
-        draining_ns = max(ACCEPT_TIME, min(MAX_SERVE_TIME, overdue_ns - LAST_REQUEST_MARGIN))
+    def for_settings(cls, settings: Settings) -> ShutdownSchedule:
+        """The schedule for the deadlines of the request classes."""
+        overdue_ns = min(
+            MAX_SHUTDOWN_TIME_NS,
+            max(request_class.deadline_ns for request_class in settings.classes) + DEADLINE_MARGIN_NS,
+        )
+        draining_ns = max(ACCEPT_TIME_NS, min(MAX_SERVE_TIME_NS, overdue_ns - LAST_REQUEST_MARGIN_NS))
         return cls(draining_ns, overdue_ns)
 
     def phase_at(self, elapsed_ns: int) -> ShutdownPhase:
-        """The phase so long after SIGTERM, once no connections are accepted any more."""
+        """The phase at this time after SIGTERM, once new connections are no longer accepted."""
         if elapsed_ns > self.overdue_ns:
             return ShutdownPhase.OVERDUE
         return ShutdownPhase.DRAINING if elapsed_ns >= self.draining_ns else ShutdownPhase.SERVING
 
 
 class GracefulShutdown:
-    """Ends a gateway once nothing is owed any more; every request has a deadline, so that this comes."""
+    """Ends a gateway once all requests are answered; their deadlines bound the time that this takes."""
 
     def __init__(
         self,
@@ -78,41 +81,41 @@
         settings: Settings,
         on_ended: Callable[[], None],
     ) -> None:
-        """`on_ended` is called once, at the end."""
+        """`on_ended` is called once, when the shutdown is complete."""
         self._timers = timers
         self._listener = listener
         self._server = server
         self._dispatcher = dispatcher
-        self._schedule = ShutdownSchedule.of(settings)
+        self._schedule = ShutdownSchedule.for_settings(settings)
         self._on_ended = on_ended
-        self._begun_ns = 0
+        self._started_ns = 0
         self.phase = ShutdownPhase.RUNNING
 
     def on_settings(self, settings: Settings) -> None:
-        """Other deadlines are in force; a shutdown that has begun follows them too."""
-        self._schedule = ShutdownSchedule.of(settings)
+        """Apply new deadlines, also to a shutdown in progress."""
+        self._schedule = ShutdownSchedule.for_settings(settings)
 
     def begin(self) -> None:
-        """SIGTERM: fail health checks at once; requests on open connections are still served for a while."""
+        """Begin a shutdown: health checks fail at once, requests are still served for a while."""
         if self.phase is not ShutdownPhase.RUNNING:
             return
         self.phase = ShutdownPhase.ACCEPTING
-        self._begun_ns = now_ns()
+        self._started_ns = now_ns()
         self._server.begin_shutdown()
-        self._timers.call_after(ACCEPT_TIME, self._stop_accepting, None)
+        self._timers.call_after(ACCEPT_TIME_NS, self._stop_accepting, None)
 
     def _stop_accepting(self, _: None) -> None:
         self._listener.close()
-        self._check(None)
+        self._update_phase(None)
 
-    def _check(self, _: None) -> None:
-        self.phase = self._schedule.phase_at(now_ns() - self._begun_ns)
+    def _update_phase(self, _: None) -> None:
+        self.phase = self._schedule.phase_at(now_ns() - self._started_ns)
         if self.phase in (ShutdownPhase.DRAINING, ShutdownPhase.OVERDUE):
-            self._server.drain()  # at each check: a connection may have become idle since the last one
+            self._server.drain()  # repeated: a connection may have become idle since the last call
         if self.phase is ShutdownPhase.OVERDUE:
             self._dispatcher.fail_all()
         if self.phase is ShutdownPhase.OVERDUE or not self._server.open_connections:
             self.phase = ShutdownPhase.ENDED
             self._on_ended()
         else:
-            self._timers.call_after(CHECK_INTERVAL, self._check, None)
+            self._timers.call_after(CHECK_INTERVAL_NS, self._update_phase, None)
--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway."""
+"""Tests of the `gateway` package."""
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration put in force by SIGHUP: over sockets, by its steps alone, and by the real program."""
+"""Configuration reload on SIGHUP: over sockets, by its single steps, and in a real process."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class ConfigurationFile:
-    """A configuration file that is written anew, and the gateway that reloads it."""
+    """A configuration file that the test rewrites, and the gateway that reloads it."""
 
     def __init__(self, harness: GatewayHarness, path: Path) -> None:
         self.harness, self.path = harness, path
-        self.reload = harness.gateway.configuration_reload
+        self.reload = harness.gateway.configuration_reloader
 
     def write(self, sections: dict[str, Any] | None = None, **settings: Any) -> None:
-        """Replace the file, and reload it."""
+        """Replace the file and reload it."""
         self.path.write_text(
             json.dumps(
                 {
@@ -56,15 +56,15 @@
         self.harness.gateway.reload()
 
     async def wait_for(self, state: ReloadState) -> None:
-        """Wait until the reload is in this state."""
+        """Wait until the reload reaches a state."""
         await wait_until(lambda: self.reload.state is state)
 
     def state(self) -> ReloadState:
-        """What the reload is doing."""
+        """The state of the reload."""
         return self.reload.state
 
     def tenant_names(self) -> list[bytes]:
-        """The names of the tenants in force."""
+        """Names of the current tenants."""
         return list(self.reload.tenants.slots)
 
 
@@ -72,7 +72,7 @@
 async def running_gateway(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, **more: Any
 ) -> AsyncIterator[tuple[ConfigurationFile, FakeEndpoint]]:
-    """A gateway with one endpoint, and the file that it reloads."""
+    """A running gateway with one endpoint, and the configuration file that it reloads."""
     path = tmp_path / "configuration.json"
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     async with GatewayHarness() as harness:
@@ -90,7 +90,7 @@
 
 
 def run_steps(steps: Generator[None, None, Result], on_step: Callable[[], None] = lambda: None) -> Result:
-    """Run all steps at once; `on_step` is called after each but the last."""
+    """Run all steps to the end; `on_step` is called after each step but the last."""
     while True:
         try:
             next(steps)
@@ -105,16 +105,16 @@
 
 
 def apply(table: TenantTable, rows: Sequence[msgspec.Raw]) -> list[tuple[int, Tenant]]:
-    """Put these rows in force; the changes, in their order."""
+    """Apply rows to the table; returns the changes in the order in which they were applied."""
     changes: list[tuple[int, Tenant]] = []
     run_steps(table.apply(compare(table, rows), changes.extend))
     return changes
 
 
-# ---- Over sockets ----------------------------------------------------------------------------------
+# ---- Reload over sockets ---------------------------------------------------------------------------
 
 
-async def test_tenants_are_added_changed_and_removed_without_a_lost_request(
+async def test_tenants_are_added_changed_and_removed_without_losing_a_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO", "gateway")
@@ -136,18 +136,18 @@
         received.reply(LAST)
         for _ in range(2):
             (await endpoint.received.get()).reply(LAST)
-        for each in (sent, waiting, client):
-            assert (await each.response())[::2] == (200, b"done")
+        for connection in (sent, waiting, client):
+            assert (await connection.response())[::2] == (200, b"done")
         balancer: Any = dispatcher.balancer
         assert [tenant and tenant.quota_per_s for tenant in balancer.tenants.quotas] == [7.0, None]
         assert balancer.settings.over_quota_weight == 0.5
     assert "1 tenants added, 1 changed, 1 removed" in caplog.text
 
 
-async def test_a_request_that_is_open_across_a_change_keeps_its_terms(
+async def test_a_request_that_is_open_during_a_reload_keeps_its_objective_and_class(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A latency objective is cut for later requests only; the classes come in another order."""
+    """A shorter latency objective applies to later requests only, even if the classes change their order."""
     async with running_gateway(tmp_path, monkeypatch) as (file, endpoint):
         client = await file.harness.client()
         client.send(request(request_id="open"))
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sections", "settings", "message", "moves"),
+    ("sections", "settings", "message", "moves_discovery"),
     [
         ({"version": 6}, {"realms": [{"name": "new"}]}, "version 6 is older than 7", False),
         ({"version": "9"}, {"realms": [{"name": "new"}]}, "version must be", False),
@@ -190,11 +190,11 @@
         ),
     ],
 )
-async def test_an_unusable_file_changes_nothing_and_logs_one_line(
+async def test_an_invalid_file_changes_nothing_and_logs_one_line(
     sections: dict[str, Any],
     settings: dict[str, Any],
     message: str,
-    moves: bool,
+    moves_discovery: bool,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
@@ -205,7 +205,7 @@
         monkeypatch.setattr(file.harness.gateway.discovery, "move_to", moved.append)
         file.write(sections, **settings)
         await file.wait_for(ReloadState.IDLE)
-        assert bool(moved) is moves
+        assert bool(moved) is moves_discovery
         assert file.tenant_names() == [b"acme"]
         assert file.reload.configuration.version == 7
         client = await file.harness.client()
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("state", [ReloadState.READING, ReloadState.COMPARING])
-async def test_of_two_signals_the_last_file_counts(
+async def test_after_two_signals_the_last_file_is_applied(
     state: ReloadState, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO", "gateway")
@@ -231,7 +231,7 @@
         file.write(realms=[ACME, {"name": "second"}])
         assert file.state() is ReloadState.READING
         await file.wait_for(ReloadState.IDLE)
-        assert file.tenant_names() == [b"acme", b"second"]  # nothing of the first
+        assert file.tenant_names() == [b"acme", b"second"]  # no tenant of the first file
         file.write(realms=[ACME, *many])
         await file.wait_for(ReloadState.APPLYING)
         file.write(realms=[ACME, {"name": "last"}])
@@ -256,35 +256,35 @@
         assert len(file.tenant_names()) == 20_001
 
 
-async def test_the_program_puts_a_change_in_force_at_sighup(tmp_path: Path) -> None:
+async def test_the_process_applies_a_change_on_sighup(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c")
+    process, address = await launch(tmp_path / "c")
     busy, client = await connect(address), await connect(address)
     busy.send(request(request_id="open"))
     received = await endpoint.received.get()
     assert (await client.exchange(request(request_id="early", X_Tenant_Id="new")))[0] == 400
     (tmp_path / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "realms": [{"name": "new"}]}}))
-    program.send_signal(signal.SIGHUP)
-    assert program.stderr is not None
+    process.send_signal(signal.SIGHUP)
+    assert process.stderr is not None
     while b"settings in force: 1 tenants added, 0 changed, 1 removed" not in (
-        line := await program.stderr.readline()
+        line := await process.stderr.readline()
     ):
-        assert line, "the program has ended"
+        assert line, "the process has ended"
     client = await connect(address)
-    assert (await client.exchange(request(request_id="late")))[0] == 400  # the tenant of the open request
+    assert (await client.exchange(request(request_id="late")))[0] == 400  # removed, with one request open
     received.reply()
     assert (await busy.response())[::2] == (200, b"done")
     client = await connect(address)
     client.send(request(request_id="r2", X_Tenant_Id="new"))
     (await endpoint.received.get()).reply()
     assert (await client.response())[0] == 200
-    program.send_signal(signal.SIGHUP)
-    program.send_signal(signal.SIGTERM)
-    assert await program.wait() == 0
+    process.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGTERM)
+    assert await process.wait() == 0
 
 
-# ---- The difference --------------------------------------------------------------------------------
+# ---- Difference of tenant rows ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("names", ["abc", "cab", "cba"])
@@ -293,11 +293,11 @@
     assert apply(table, tenant_rows(*names)) == []
     assert table.slots == {b"a": 0, b"b": 1, b"c": 2}
     changed_row = tenant_rows("b", quota=2.0)
-    [change] = apply(table, [*changed_row, *tenant_rows("a", "c")])  # the new positions are known
+    [change] = apply(table, [*changed_row, *tenant_rows("a", "c")])  # the table knows the new positions
     assert change == (1, Tenant("b", 2.0))
 
 
-def test_a_slot_is_freed_before_it_has_another_tenant() -> None:
+def test_a_slot_is_freed_before_it_is_reused() -> None:
     table = tenant_table(*"abc")
     assert apply(table, tenant_rows("a", "d", "e", "c")) == [
         (1, Tenant("")),
@@ -310,14 +310,14 @@
     assert len(set(table.slots.values())) == 5
 
 
-def test_a_row_without_a_name_that_moves_has_another_name() -> None:
+def test_a_moved_row_without_a_name_is_another_tenant() -> None:
     bare = msgspec.Raw(b"{}")
     table = TenantTable([*tenant_rows("a"), bare], [Tenant("a", 1.0), Tenant("1")])
     apply(table, [bare, *tenant_rows("a")])
     assert table.slots.keys() == {b"0", b"a"}
 
 
-def test_two_rows_of_one_name_are_an_error_before_any_change() -> None:
+def test_duplicate_names_are_rejected_before_any_change() -> None:
     table = tenant_table(*"abc")
     with pytest.raises(ConfigurationError, match="'a'"):
         compare(table, [*tenant_rows("a", "b"), *tenant_rows("a", quota=3.0)])
@@ -325,10 +325,10 @@
 
 
 @pytest.mark.parametrize("quota", [1.0, 2.0])
-def test_rows_are_worked_on_in_steps(quota: float) -> None:
-    """Every row that is read or applied in one step is counted."""
+def test_rows_are_processed_in_steps(quota: float) -> None:
+    """Counts the rows that are read or applied in each step."""
 
-    class Counted(list[msgspec.Raw]):
+    class CountingRows(list[msgspec.Raw]):
         read = 0
 
         def __iter__(self) -> Any:
@@ -341,24 +341,24 @@
             return super().__getitem__(index)
 
     names = [f"t{number}" for number in range(20_000)]
-    table, counted = tenant_table(*names), Counted(tenant_rows(*names, quota=quota))
-    read_in_steps: list[int] = []
+    table, counting_rows = tenant_table(*names), CountingRows(tenant_rows(*names, quota=quota))
+    rows_read_per_step: list[int] = []
 
     def on_step() -> None:
-        read_in_steps.append(counted.read)
-        counted.read = 0
+        rows_read_per_step.append(counting_rows.read)
+        counting_rows.read = 0
 
-    difference = run_steps(table.compare(counted), on_step)
-    assert max(read_in_steps) <= ROWS_PER_STEP + 1
-    assert len(read_in_steps) >= 2 * len(names) // ROWS_PER_STEP
-    applied_in_steps: list[int] = []
+    difference = run_steps(table.compare(counting_rows), on_step)
+    assert max(rows_read_per_step) <= ROWS_PER_STEP + 1
+    assert len(rows_read_per_step) >= 2 * len(names) // ROWS_PER_STEP
+    rows_applied_per_step: list[int] = []
 
     def on_tenants(changes: TenantChanges) -> None:
-        applied_in_steps.append(len(changes))
+        rows_applied_per_step.append(len(changes))
 
     run_steps(table.apply(difference, on_tenants))
-    assert sum(applied_in_steps) == (0 if quota == 1.0 else len(names))
-    assert max(applied_in_steps, default=0) <= ROWS_PER_STEP
+    assert sum(rows_applied_per_step) == (0 if quota == 1.0 else len(names))
+    assert max(rows_applied_per_step, default=0) <= ROWS_PER_STEP
 
 
 def test_the_file_is_read_in_steps_and_its_rows_are_not_decoded(tmp_path: Path) -> None:
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -1,4 +1,4 @@
-"""Reproductions of incidents, on real processes over loopback; see docs/incidents/."""
+"""Regression tests that reproduce production incidents over loopback; see docs/incidents/."""
 
 from __future__ import annotations
 
@@ -28,78 +28,78 @@
 
 ROUNDS = 12
 MAX_SLOWDOWN = 10
-"""A request that waits for nothing takes less than so many times as long as on a connection of its own."""
+"""Limit on the ratio of response times: behind an invalid request, and on a separate connection."""
 UNKNOWN_PATH = b"GET /status HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 RESPONSE_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"
 
 
-async def _seconds(client: Client, request_id: str) -> float:
-    begun = time.monotonic()
+async def _response_time_s(client: Client, request_id: str) -> float:
+    started = time.monotonic()
     assert (await client.exchange(request(request_id=request_id)))[0] == 200
-    return time.monotonic() - begun
+    return time.monotonic() - started
 
 
 async def test_a_request_is_not_delayed_by_an_invalid_one_before_it(tmp_path: Path) -> None:
-    """incident-1: clients share connections with others whose requests are invalid."""
+    """incident-1: an invalid request delayed the requests that followed it on a shared connection."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    program, where = await launch(tmp_path / "c")
-    alone, shared = await connect(where), await connect(where)
-    usual, behind = [], []
+    process, address = await launch(tmp_path / "c")
+    separate, shared = await connect(address), await connect(address)
+    separate_times_s, shared_times_s = [], []
     for number in range(ROUNDS):
-        usual.append(await _seconds(alone, f"u{number}"))
+        separate_times_s.append(await _response_time_s(separate, f"u{number}"))
         assert (await shared.exchange(UNKNOWN_PATH))[0] == 404
-        behind.append(await _seconds(shared, f"b{number}"))
-    program.send_signal(signal.SIGKILL)
-    await program.wait()
-    assert statistics.median(behind) < MAX_SLOWDOWN * statistics.median(usual)
+        shared_times_s.append(await _response_time_s(shared, f"b{number}"))
+    process.send_signal(signal.SIGKILL)
+    await process.wait()
+    assert statistics.median(shared_times_s) < MAX_SLOWDOWN * statistics.median(separate_times_s)
 
 
-@pytest.mark.parametrize("make_reset", [False, True], ids=["end", "reset"])
-async def test_a_response_without_a_length_ends_with_its_connection(make_reset: bool, tmp_path: Path) -> None:
-    """incident-2: none of 85 such responses reached a client.  A reset is no end of a response."""
+@pytest.mark.parametrize("with_reset", [False, True], ids=["end", "reset"])
+async def test_a_response_without_a_length_ends_with_its_connection(with_reset: bool, tmp_path: Path) -> None:
+    """incident-2: none of 85 such responses reached a client.  A reset does not end a response regularly."""
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    program, where = await launch(tmp_path / "c")
-    client = await connect(where)
-    client.send(request("once"))  # there is no retry, so that the one response decides
-    seen = await endpoint.received.get()
-    seen.reply(RESPONSE_WITHOUT_LENGTH)
-    end(seen, make_reset)
+    process, address = await launch(tmp_path / "c")
+    client = await connect(address)
+    client.send(request("once"))  # not retried, so this response decides the result
+    received = await endpoint.received.get()
+    received.reply(RESPONSE_WITHOUT_LENGTH)
+    end_connection(received, with_reset)
     status, _, body = await client.response()
-    program.kill()
-    await program.wait()
-    assert (status, body) == ((502, b"failed\n") if make_reset else (200, b"done"))
+    process.kill()
+    await process.wait()
+    assert (status, body) == ((502, b"failed\n") if with_reset else (200, b"done"))
 
 
-def end(seen: ReceivedRequest, make_reset: bool) -> None:
-    """End an endpoint's connection in order, or by a reset."""
-    if make_reset:
-        sock = seen.writer.get_extra_info("socket")
+def end_connection(received: ReceivedRequest, with_reset: bool) -> None:
+    """Close an endpoint's connection regularly or with a reset."""
+    if with_reset:
+        sock = received.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        seen.writer.transport.abort()
+        received.writer.transport.abort()
     else:
-        seen.writer.close()
+        received.writer.close()
 
 
 async def test_a_request_that_stayed_unread_past_its_deadline_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """incident-1: its timeout ran from the reading, and endpoints got it after its client had closed."""
+    """incident-1: the timeout ran from the read, so endpoints got requests after their client had closed."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint, make=Sends)
         client = await harness.client()
         for number in range(MAX_PIPELINED):
             client.send(request(request_id=f"r{number}"))
-        seen = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
+        received_requests = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: connection.reading.is_paused)
         client.send(request(request_id="late", X_Timeout_Ms="100"))
         for module in ("dispatcher", "client.connection"):
             monkeypatch.setattr(f"gateway.{module}.now_ns", lambda: now_ns() + 150 * MS)
-        for item in seen:
-            item.reply()
+        for received in received_requests:
+            received.reply()
         statuses = [(await client.response())[0] for _ in range(MAX_PIPELINED + 1)]
         assert statuses == [200] * MAX_PIPELINED + [503]
         assert endpoint.received.empty()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: its configuration, its signals, its descriptors."""
+"""Tests of the gateway as a process: invalid configuration, signals, exhaustion of descriptors."""
 
 from __future__ import annotations
 
@@ -52,13 +52,13 @@
 async def test_after_sigterm_open_and_new_requests_are_served(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c")
+    process, address = await launch(tmp_path / "c")
     idle, busy = await connect(address), await connect(address)
     assert (await idle.exchange(HEALTH_CHECK))[0] == 200
     busy.send(request())
     received = await endpoint.received.get()
-    program.send_signal(signal.SIGTERM)
-    assert await idle.reader.read() == b""  # closed, as only health checks have come on it
+    process.send_signal(signal.SIGTERM)
+    assert await idle.reader.read() == b""  # closed, as it carried only health checks
     late = await connect(address)  # new connections are still accepted for a while
     status, headers, _ = await late.exchange(HEALTH_CHECK)
     assert (status, headers["connection"]) == (503, "close")
@@ -67,141 +67,141 @@
     busy.send(request(request_id="r2"))  # open connections are still served
     (await endpoint.received.get()).reply()
     assert (await busy.response())[0] == 200
-    assert await busy.reader.read() == b""  # and closed in the end
+    assert await busy.reader.read() == b""  # and finally closed
     late.writer.close()
-    assert await program.wait() == 0
+    assert await process.wait() == 0
 
 
-async def test_sigterm_amid_sighup_leaves_each_request_exactly_one_response(
+async def test_sigterm_during_sighup_leaves_each_request_exactly_one_response(
     tmp_path: Path,
 ) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c")
+    process, address = await launch(tmp_path / "c")
     sent, waiting, later = [await connect(address) for _ in range(3)]
     sent.send(request(request_id="sent"))
     received = await endpoint.received.get()
     waiting.send(request(request_id="waiting"))  # the one endpoint is busy
     assert (await later.exchange(HEALTH_CHECK))[0] == 200
     (tmp_path / "c").write_text(json.dumps({**config, "limits": {"sockets": 1e999}}))
-    program.send_signal(signal.SIGHUP)
-    program.send_signal(signal.SIGTERM)
-    program.send_signal(signal.SIGHUP)  # a broken file before and after SIGTERM
-    program.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGHUP)  # an invalid file both before and after SIGTERM
+    process.send_signal(signal.SIGTERM)
     while (await (await connect(address)).exchange(HEALTH_CHECK))[
         0
-    ] != 503:  # the signals arrive some time later
+    ] != 503:  # the signals are handled asynchronously
         pass
-    sent.writer.write(request(request_id="next"))  # sent before the response to the first has come
+    sent.writer.write(request(request_id="next"))  # pipelined, before the first response
     received.reply(LAST)
     assert (await sent.response())[::2] == (200, b"done")
-    order = []
+    forwarded = []
     for _ in range(2):
         received = await endpoint.received.get()
-        order.append(received.headers["x-request-id"])
+        forwarded.append(received.headers["x-request-id"])
         received.reply(LAST)
-    assert sorted(order) == ["next", "waiting"]
+    assert sorted(forwarded) == ["next", "waiting"]
     assert (await waiting.response())[::2] == (200, b"done")
     assert (await sent.response())[::2] == (200, b"done")
     assert await waiting.reader.read() == await sent.reader.read() == b""  # one response each
-    assert await program.wait() == 0
+    assert await process.wait() == 0
     assert endpoint.received.empty()
 
 
 async def test_the_last_response_in_a_shutdown_closes_its_connection(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c")
+    process, address = await launch(tmp_path / "c")
     first, second = await connect(address), await connect(address)
-    program.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     while (await (await connect(address)).exchange(HEALTH_CHECK))[
         0
-    ] != 503:  # the signal arrives some time later
+    ] != 503:  # the signal is handled asynchronously
         pass
     first.send(request())
     (await endpoint.received.get()).reply(LAST)
     assert (await first.response())[0] == 200
     second.send(request(request_id="r2"))
     received = await endpoint.received.get()
-    assert await first.reader.read() == b""  # the gateway drains its connections now
+    assert await first.reader.read() == b""  # the draining phase has begun
     received.reply()
     status, headers, _ = await second.response()
     assert (status, headers["connection"]) == (200, "close")
     second.writer.close()
-    assert await program.wait() == 0
+    assert await process.wait() == 0
 
 
 async def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     endpoint = await FakeEndpoint(reply=None).start()
     first, second, third = [await FakeDiscovery().start() for _ in range(3)]
     config = write_config(tmp_path / "c", first, endpoint)
-    program, address = await launch(tmp_path / "c", EDGE_DISCOVERY=first.address)
+    process, address = await launch(tmp_path / "c", EDGE_DISCOVERY=first.address)
     await first.calls.get()
     (tmp_path / "c").write_text("{")
-    program.send_signal(signal.SIGHUP)
-    assert program.stderr is not None
-    while b"the old configuration stays" not in (line := await program.stderr.readline()):
-        assert line, "the program has ended"
+    process.send_signal(signal.SIGHUP)
+    assert process.stderr is not None
+    while b"the old configuration stays" not in (line := await process.stderr.readline()):
+        assert line, "the process has ended"
     (tmp_path / "c").write_text(json.dumps({**config, "discovery": second.address}))
-    program.send_signal(signal.SIGHUP)  # the file has precedence over EDGE_DISCOVERY now
+    process.send_signal(signal.SIGHUP)  # on a reload the file takes precedence over EDGE_DISCOVERY
     await second.calls.get()
     client = await connect(address)
     client.send(request())
     received = await endpoint.received.get()
-    program.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     (tmp_path / "c").write_text(json.dumps({**config, "discovery": third.address}))
-    program.send_signal(signal.SIGHUP)  # during a shutdown too
+    process.send_signal(signal.SIGHUP)  # also during a shutdown
     await third.calls.get()
     received.reply()
     assert (await client.response())[0] == 200
-    assert await program.wait() == 0
+    assert await process.wait() == 0
 
 
 async def test_a_restarted_gateway_can_listen_at_once(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c")
+    process, address = await launch(tmp_path / "c")
     busy = await connect(address)
     busy.send(request())
     await endpoint.received.get()
-    program.kill()
-    await program.wait()
+    process.kill()
+    await process.wait()
     (tmp_path / "c").write_text(json.dumps({**config, "listen": f"{address[0]}:{address[1]}"}))
-    program, new_address = await launch(tmp_path / "c")
+    process, new_address = await launch(tmp_path / "c")
     assert new_address == address
-    program.send_signal(signal.SIGTERM)
-    assert await program.wait() == 0
+    process.send_signal(signal.SIGTERM)
+    assert await process.wait() == 0
 
 
 async def test_a_gateway_without_descriptors_serves_again_later(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    program, address = await launch(tmp_path / "c", sockets=40)
+    process, address = await launch(tmp_path / "c", sockets=40)
     clients = [await connect(address) for _ in range(80)]
     for client in clients:
         client.writer.close()
-    while True:  # until the gateway has noticed that they are gone
+    while True:  # until the gateway has detected the closed connections
         client = await connect(address)
         try:
             if (await client.exchange(request()))[0] == 200:
                 break
         except (OSError, asyncio.IncompleteReadError):
-            pass  # closed for want of a descriptor
+            pass  # closed because no descriptor was free
         client.writer.close()
-    assert program.returncode is None
-    program.send_signal(signal.SIGTERM)
+    assert process.returncode is None
+    process.send_signal(signal.SIGTERM)
     client.writer.close()
-    assert await program.wait() == 0
+    assert await process.wait() == 0
 
 
 @pytest.mark.parametrize("data", [b"", HEALTH_CHECK, request()[:-2]], ids=["silent", "health", "half"])
 async def test_idle_clients_leave_descriptors_for_discovery_and_endpoints(
     data: bytes, tmp_path: Path
 ) -> None:
-    """They use up their descriptors while discovery is down, and are still there when it is back."""
+    """Clients use all their descriptors while discovery is down, and keep them once it is back."""
 
     async def reconnect(address: tuple[str, int], closed: asyncio.Event) -> None:
-        while True:  # connects again when it is closed
+        while True:  # reconnects whenever the gateway closes the connection
             try:
                 client = await connect(address)
                 client.send(data)
@@ -213,54 +213,54 @@
             await asyncio.sleep(0.1)
 
     endpoint, discovery = await FakeEndpoint().start(), FakeDiscovery()
-    own = socket.socket()
-    own.bind(("127.0.0.1", 0))  # it does not listen yet
-    discovery.address = f"127.0.0.1:{own.getsockname()[1]}"
+    discovery_socket = socket.socket()
+    discovery_socket.bind(("127.0.0.1", 0))  # bound, but not listening yet
+    discovery.address = f"127.0.0.1:{discovery_socket.getsockname()[1]}"
     config = write_config(tmp_path / "c", discovery)
     (tmp_path / "c").write_text(json.dumps({**config, "limits": {"sockets": 96}}))
-    program, address = await launch(tmp_path / "c", sockets=96)
+    process, address = await launch(tmp_path / "c", sockets=96)
     closed = asyncio.Event()
     clients = [asyncio.create_task(reconnect(address, closed)) for _ in range(100)]
     await closed.wait()
-    assert program.stderr is not None
+    assert process.stderr is not None
     failures = 0
-    while failures < 12:  # each failure is one of discovery, none one of descriptors
-        line = (await program.stderr.readline()).decode()
-        if " gateway.stats " in line:  # the summary of each second
+    while failures < 12:  # each is a refused call of discovery, none a lack of descriptors
+        line = (await process.stderr.readline()).decode()
+        if " gateway.stats " in line:  # the summary line, once per second
             continue
         failures += 1
         assert "discovery: no connection" in line
         assert f"Errno {errno.ECONNREFUSED}" in line
-    await discovery.start(own)
+    await discovery.start(discovery_socket)
     _, writer = await discovery.calls.get()
     discovery.head(writer)
     discovery.line(writer, 42, [endpoint.row()])
-    for complete in (HEALTH_CHECK, request()):
+    for complete_request in (HEALTH_CHECK, request()):
         while True:
             client = await connect(address)
             try:
-                if (await client.exchange(complete))[0] == 200:
+                if (await client.exchange(complete_request))[0] == 200:
                     break
             except (OSError, asyncio.IncompleteReadError):
-                pass  # new connections may be closed
+                pass  # the gateway may close new connections
             client.writer.close()
         client.writer.close()
     assert not any(task.done() for task in clients)
-    program.kill()
-    await program.wait()
+    process.kill()
+    await process.wait()
 
 
 async def test_thirty_gateways_that_start_together_are_ready_at_the_first_health_check(
     tmp_path: Path,
 ) -> None:
-    """Each has its cached endpoint list, whether or not discovery is there."""
+    """Each has a cached endpoint list and is ready without discovery, which refuses connections here."""
     endpoint, discovery = await FakeEndpoint().start(), FakeDiscovery()
-    own = socket.socket()
-    own.bind(("127.0.0.1", 0))  # it does not listen
-    discovery.address = f"127.0.0.1:{own.getsockname()[1]}"
+    discovery_socket = socket.socket()
+    discovery_socket.bind(("127.0.0.1", 0))  # bound, but not listening
+    discovery.address = f"127.0.0.1:{discovery_socket.getsockname()[1]}"
     write_config(tmp_path / "c", discovery, endpoint)
-    for program, address in await asyncio.gather(*(launch(tmp_path / "c") for _ in range(30))):
+    for process, address in await asyncio.gather(*(launch(tmp_path / "c") for _ in range(30))):
         assert (await (await connect(address)).exchange(HEALTH_CHECK))[0] == 200
-        program.kill()
-        await program.wait()
-    own.close()
+        process.kill()
+        await process.wait()
+    discovery_socket.close()
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -1,4 +1,4 @@
-"""Readiness of thirty gateways that start together, over sockets."""
+"""Tests over sockets: readiness of thirty gateways that start together."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.support.loopback import FakeDiscovery, FakeEndpoint, GatewayHarness, wait_until
 
 GATEWAYS = 30
-MOST_READY_WITHIN, ALL_READY_WITHIN = 10 * SECOND, 30 * SECOND
-"""Nine in ten have to be ready within the first, and all within the second."""
-MOST_READY_IN_SHORT_RUN = 6 * SECOND
-"""Nine in ten have to be ready within this where the run ends before."""
-SPEED = 100
-"""How much faster than the real one the clock of these tests is."""
+MOST_READY_WITHIN_NS, ALL_READY_WITHIN_NS = 10 * SECOND, 30 * SECOND
+"""Times within which nine in ten gateways and all gateways must be ready, ns."""
+MOST_READY_IN_SHORT_RUN_NS = 6 * SECOND
+"""Limit for nine in ten gateways in a run that ends before `MOST_READY_WITHIN_NS`, ns."""
+TIMER_SPEEDUP = 100
+"""Factor by which the timers of these tests are shortened."""
 HEALTH_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 SETTINGS: dict[str, Any] = {
@@ -28,38 +28,38 @@
 }
 
 
-def fast_balancer(waits: list[int]) -> BalancerFactory:
-    """A balancer on a faster clock: notes the delays of its timers, ns, and shortens them."""
+def fast_balancer(delays_ns: list[int]) -> BalancerFactory:
+    """A factory of balancers whose timers are shortened; appends the original delays to `delays_ns`."""
 
-    def make(settings: Settings, seed: int, actions: Actions) -> EventHandler:
+    def make_balancer(settings: Settings, seed: int, actions: Actions) -> EventHandler:
         set_timer: Callable[[int, int], None] = actions.set_timer
 
-        def note(token: int, delay_ns: int) -> None:
-            waits.append(delay_ns)
-            set_timer(token, delay_ns // SPEED)
+        def shorten(token: int, delay_ns: int) -> None:
+            delays_ns.append(delay_ns)
+            set_timer(token, delay_ns // TIMER_SPEEDUP)
 
-        actions.set_timer = note  # type: ignore[method-assign]
+        actions.set_timer = shorten  # type: ignore[method-assign]
         return Balancer(settings, seed, actions)
 
-    return make
+    return make_balancer
 
 
-def speed_up_watch(harness: GatewayHarness, waits: list[int]) -> None:
-    """The same for the gateway's own backoff, where discovery pushes the endpoint list."""
+def speed_up_watch(harness: GatewayHarness, delays_ns: list[int]) -> None:
+    """Shorten the gateway's own backoff, used where discovery pushes the list; appends it to `delays_ns`."""
     timers, watch = harness.gateway.timers, harness.gateway.discovery.watch
     call_after = timers.call_after
 
-    def note(delay_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        if call == watch:
-            waits.append(delay_ns)
-            delay_ns //= SPEED
-        call_after(delay_ns, call, argument)
+    def shorten(delay_ns: int, callback: Callable[[Any], None], argument: Any) -> None:
+        if callback == watch:
+            delays_ns.append(delay_ns)
+            delay_ns //= TIMER_SPEEDUP
+        call_after(delay_ns, callback, argument)
 
-    timers.call_after = note  # type: ignore[method-assign]
+    timers.call_after = shorten  # type: ignore[method-assign]
 
 
 async def health_status(harness: GatewayHarness) -> int:
-    """The status of one health check on a connection of its own."""
+    """Status of a health check on a new connection."""
     client = await harness.client()
     status = (await client.exchange(HEALTH_CHECK))[0]
     client.writer.close()
@@ -87,25 +87,28 @@
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize(
-    ("failing", "bound"), [(0, MOST_READY_IN_SHORT_RUN), (1, MOST_READY_WITHIN), (2, MOST_READY_WITHIN)]
+    ("failing_calls", "max_ns"),
+    [(0, MOST_READY_IN_SHORT_RUN_NS), (1, MOST_READY_WITHIN_NS), (2, MOST_READY_WITHIN_NS)],
 )
-async def test_with_an_empty_list_nine_in_ten_are_ready_in_time(failing: int, bound: int, mode: str) -> None:
-    """The delays before and between the calls of discovery, the first of which fail, are added up.
+async def test_with_an_empty_list_nine_in_ten_are_ready_in_time(
+    failing_calls: int, max_ns: int, mode: str
+) -> None:
+    """Adds up the delays before and between the calls of discovery, of which the first `failing_calls` fail.
 
-    Where gateways poll discovery they were too long: 6.5, 14.8 and 23.8 s for nine in ten.
+    Gateways that poll discovery once took too long: 6.5, 14.8 and 23.8 s for nine in ten.
     """
 
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
-        waits: list[int] = []
+        delays_ns: list[int] = []
         await harness.begin(
             rows=[],
-            make=fast_balancer(waits),
+            make=fast_balancer(delays_ns),
             configuration={"seed": f"{number:x}"},
             discovery=mode,
             **SETTINGS,
         )
-        speed_up_watch(harness, waits)
-        for _ in range(failing):
+        speed_up_watch(harness, delays_ns)
+        for _ in range(failing_calls):
             _, writer = await harness.discovery.calls.get()
             assert await health_status(harness) == 503
             writer.write(BUSY)
@@ -114,15 +117,15 @@
         FakeDiscovery.line(writer, 1, [endpoint.row()], reset=True)
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert await health_status(harness) == 200
-        return sum(waits)
+        return sum(delays_ns)
 
     endpoint = await FakeEndpoint().start()
     async with AsyncExitStack() as stack:
         harnesses = [await stack.enter_async_context(GatewayHarness()) for _ in range(GATEWAYS)]
-        times = sorted(
+        ready_times_ns = sorted(
             await asyncio.gather(
                 *(start(harness, endpoint, number) for number, harness in enumerate(harnesses))
             )
         )
-        assert times[GATEWAYS * 9 // 10 - 1] <= bound
-        assert times[-1] <= ALL_READY_WITHIN
+        assert ready_times_ns[GATEWAYS * 9 // 10 - 1] <= max_ns
+        assert ready_times_ns[-1] <= ALL_READY_WITHIN_NS
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The schedule of a graceful shutdown, and the budgets of descriptors and memory."""
+"""Tests of the schedule of a graceful shutdown, and of the division of descriptors and memory."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.support.loopback import SETTINGS
 
 
-def schedule(deadline_ns: int) -> ShutdownSchedule:
+def schedule_for(deadline_ns: int) -> ShutdownSchedule:
     classes = [{**row, "give-up-ns": deadline_ns} for row in SETTINGS["request-classes"]]
     settings: dict[str, Any] = {**SETTINGS, "request-classes": classes}
-    return ShutdownSchedule.of(parse_settings(json.dumps(settings).encode()))
+    return ShutdownSchedule.for_settings(parse_settings(json.dumps(settings).encode()))
 
 
 @pytest.mark.parametrize(
@@ -29,8 +29,10 @@
         (500 * MS, 600 * MS, 900 * MS),
     ],
 )
-def test_a_shutdown_follows_the_longest_deadline(deadline_ns: int, draining_ns: int, overdue_ns: int) -> None:
-    assert schedule(deadline_ns) == (draining_ns, overdue_ns)
+def test_the_schedule_follows_the_longest_deadline(
+    deadline_ns: int, draining_ns: int, overdue_ns: int
+) -> None:
+    assert schedule_for(deadline_ns) == (draining_ns, overdue_ns)
 
 
 @pytest.mark.parametrize(
@@ -43,7 +45,7 @@
     ],
 )
 def test_the_phases_come_in_order(elapsed_ns: int, phase: ShutdownPhase) -> None:
-    assert schedule(6 * SECOND).phase_at(elapsed_ns) is phase
+    assert schedule_for(6 * SECOND).phase_at(elapsed_ns) is phase
 
 
 def test_descriptors_and_memory_are_divided(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/gateway/test_system_calls.py
+++ b/tests/gateway/test_system_calls.py
@@ -1,7 +1,7 @@
-"""System calls that fail for a moment, in a real process: a preloaded library makes every n-th of them fail.
+"""Transient failures of system calls in a real process, where a preloaded library fails every n-th call.
 
-Whatever fails, each client gets a response on the connection that it made, before its deadline, and the
-process goes on serving.
+Whichever call fails, each client gets a response on its own connection before its deadline, and the process
+continues to serve.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 SOURCE = Path(__file__).parent.parent / "support" / "failing_system_calls.c"
 REQUESTS = 60
 CLIENTS = 6
-WAIT_S = 5.0
-"""Longer than the timeout of each request, s."""
+MAX_WAIT_S = 5.0
+"""Limit on the wait for a response, s; longer than the timeout of each request."""
 
 
 @functools.cache
-def library() -> Path:
-    """The preloaded library, compiled once."""
+def compile_library() -> Path:
+    """Path of the preloaded library; compiles it once."""
     target = Path(tempfile.mkdtemp()) / "failing_system_calls.so"
     subprocess.run(
         ["cc", "-Wall", "-Werror", "-shared", "-fPIC", "-O1", "-o", target, SOURCE, "-ldl"], check=True
@@ -38,43 +38,43 @@
     return target
 
 
-async def start(path: Path, faults: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """A gateway with these faults, three endpoints, and classes whose retries come soon."""
+async def start_gateway(path: Path, faults: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+    """Start a gateway with injected faults, three endpoints, and request classes whose retries come soon."""
     endpoints = [await FakeEndpoint(f"h{number}").start() for number in range(3)]
     discovery = await FakeDiscovery().start()
     config = write_config(path, discovery, *endpoints)
-    classes = [{**item, "slo-ns": 500 * MS} for item in config["settings"]["request-classes"]]
+    classes = [{**row, "slo-ns": 500 * MS} for row in config["settings"]["request-classes"]]
     config["settings"] = {**config["settings"], "request-classes": classes}
     path.write_text(json.dumps(config))
-    return await launch(path, LD_PRELOAD=str(library()), FAULTS=faults)
+    return await launch(path, LD_PRELOAD=str(compile_library()), FAULTS=faults)
 
 
 async def send_all(address: tuple[str, int]) -> list[int]:
-    """The status of each response; every other request comes on a connection of its own."""
+    """Send all requests, every second one on a new connection; returns the status of each response."""
 
-    async def send_some(number: int) -> list[int]:
+    async def run_client(client_number: int) -> list[int]:
         statuses = []
         client = await connect(address)
-        for turn in range(REQUESTS // CLIENTS):
-            if turn % 2:
+        for index in range(REQUESTS // CLIENTS):
+            if index % 2:
                 client = await connect(address)
-            data = request(request_id=f"r{number}-{turn}", X_Timeout_Ms="4000")
-            status, _, _ = await asyncio.wait_for(client.exchange(data), WAIT_S)
+            data = request(request_id=f"r{client_number}-{index}", X_Timeout_Ms="4000")
+            status, _, _ = await asyncio.wait_for(client.exchange(data), MAX_WAIT_S)
             statuses.append(status)
         return statuses
 
-    return list(itertools.chain.from_iterable(await asyncio.gather(*map(send_some, range(CLIENTS)))))
+    return list(itertools.chain.from_iterable(await asyncio.gather(*map(run_client, range(CLIENTS)))))
 
 
-async def end(program: asyncio.subprocess.Process, gracefully: bool) -> None:
-    """Check that the gateway still runs, and end it; by SIGTERM in some tests only, as that takes seconds."""
-    assert program.returncode is None
+async def end_process(process: asyncio.subprocess.Process, gracefully: bool) -> None:
+    """Check that the gateway still runs and end it; gracefully in few tests only, as that takes seconds."""
+    assert process.returncode is None
     if gracefully:
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
     else:
-        program.kill()
-        await program.wait()
+        process.kill()
+        await process.wait()
 
 
 @pytest.mark.parametrize(
@@ -109,12 +109,12 @@
     ],
 )
 async def test_no_request_is_lost(faults: str, tmp_path: Path) -> None:
-    program, address = await start(tmp_path / "c", faults)
+    process, address = await start_gateway(tmp_path / "c", faults)
     statuses = await send_all(address)
     assert len(statuses) == REQUESTS
-    assert set(statuses) <= {200, 503}  # a connection that fails is no reason to fail a request
+    assert set(statuses) <= {200, 503}  # a connection failure must not fail a request
     assert 2 * statuses.count(200) > REQUESTS
-    await end(program, gracefully="," in faults)
+    await end_process(process, gracefully="," in faults)
 
 
 @pytest.mark.parametrize(
@@ -129,15 +129,15 @@
         "write:ENOBUFS:40",
     ],
 )
-async def test_a_broken_connection_ends_nothing_else(faults: str, tmp_path: Path) -> None:
-    """Clients whose own connection breaks connect again; all others get a response."""
-    program, address = await start(tmp_path / "c", faults)
+async def test_a_broken_connection_affects_no_other_client(faults: str, tmp_path: Path) -> None:
+    """Clients whose connection breaks reconnect; all others get a response."""
+    process, address = await start_gateway(tmp_path / "c", faults)
     served = broken = 0
     for number in range(REQUESTS):
         client = await connect(address)
         try:
             status, _, _ = await asyncio.wait_for(
-                client.exchange(request(request_id=f"r{number}", X_Timeout_Ms="4000")), WAIT_S
+                client.exchange(request(request_id=f"r{number}", X_Timeout_Ms="4000")), MAX_WAIT_S
             )
         except (OSError, asyncio.IncompleteReadError):
             broken += 1
@@ -147,4 +147,4 @@
         client.writer.close()
     assert broken <= REQUESTS // 5
     assert 2 * served > REQUESTS
-    await end(program, gracefully=False)
+    await end_process(process, gracefully=False)
