--- a/gateway/tenant_table.py
+++ b/gateway/tenant_table.py
@@ -36,9 +36,9 @@
     """The difference between the table and the rows of a new file, and the state of the table after it."""
 
     row_hashes: array[int]
-    """By position in the file: the hash of a row's bytes."""
+    """Hash of each row's bytes, by position in the file."""
     row_slots: array[int]
-    """By position in the file: the slot of the row's tenant."""
+    """Slot of each row's tenant, by position in the file."""
     removed: list[int]
     """Slots whose tenants are missing from the new file, in ascending order."""
     changed: list[tuple[int, Tenant]]
@@ -53,9 +53,9 @@
     def __init__(self, rows: Sequence[Raw], tenants: Sequence[Tenant]) -> None:
         """`rows` is the raw JSON of the tenants in the file, in the order of `tenants`."""
         self.row_hashes = array("q", (hash(bytes(row)) for row in rows))
-        """By position in the file: the hash of a row's bytes."""
+        """Hash of each row's bytes, by position in the file."""
         self.row_slots = array("q", range(len(rows)))
-        """By position in the file: the slot of the row's tenant."""
+        """Slot of each row's tenant, by position in the file."""
         names = [tenant.name.encode() for tenant in tenants]
         self.names: list[bytes | None] = [*names]
         """Tenant name by slot; None for a free slot."""
