--- a/gateway/client/__init__.py
+++ b/gateway/client/__init__.py
@@ -1,4 +1,4 @@
-"""The client side of the gateway: accepted connections, requests and responses."""
+"""The client side of the gateway: accepted connections, their requests and the responses."""
 
 from .listener import Listener
 from .server import ClientServer
--- a/gateway/client/admission.py
+++ b/gateway/client/admission.py
@@ -1,4 +1,4 @@
-"""The open connections of clients, and which of them closes to make way for a new one."""
+"""Table of open client connections, and the eviction policy when the connection limit is reached."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 __all__ = ["ConnectionTable"]
 
-SPARE_CONNECTIONS = 16
-"""Connections above the limit that still get a rejection as their response; more are closed without one."""
+OVERFLOW_CONNECTIONS = 16
+"""Connections above the limit that still receive a rejection; beyond these they are closed without one."""
 
 
 class ConnectionTable:
-    """All open connections, and by how they are used those that may be closed.
+    """All open connections, with the evictable ones grouped by how they have been used.
 
-    A new connection above the limit takes the place of an old one on which nothing is open.  Those go first
-    that have sent nothing but health checks and invalid requests, then those that never sent anything, then
-    those whose first request does not get complete, and only then those that have been of use: many useless
-    connections must not displace the good ones.
+    A new connection above the limit replaces an existing one that has no open request.  Evicted first are
+    connections that have sent only health checks and invalid requests, then those that never sent anything,
+    then those whose first request stays incomplete, and last those that have sent a valid request.  With this
+    order, many useless connections cannot displace the useful ones.
     """
 
-    def __init__(self, max_open: int) -> None:
-        self.max_open = max_open
-        """Connections at most, but for `SPARE_CONNECTIONS`."""
-        self._connections: dict[ClientConnection, None] = {}  # oldest first, as are the others
-        self._silent: dict[ClientConnection, None] = {}  # nothing has come on these
-        self._idle: dict[ClientConnection, None] = {}  # idle, after a valid request
-        self._unproven: dict[ClientConnection, None] = {}  # idle, and no valid request has come
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections
+        """Maximum number of connections, not counting `OVERFLOW_CONNECTIONS`."""
+        self._connections: dict[ClientConnection, None] = {}  # oldest first, like the other groups
+        self._unused: dict[ClientConnection, None] = {}  # no data received yet
+        self._idle: dict[ClientConnection, None] = {}  # idle, after at least one valid request
+        self._unvalidated: dict[ClientConnection, None] = {}  # idle, no valid request received
 
     def __len__(self) -> int:
         return len(self._connections)
@@ -41,49 +41,49 @@
         return iter(self._connections)
 
     def admit(self, connection: ClientConnection) -> None:
-        """Add a new connection; where there are too many, another closes or its request is rejected."""
+        """Add a new connection; above the limit, evict another one or mark this one for rejection."""
         self._connections[connection] = None
-        if len(self._connections) > self.max_open and not self._make_way():
+        if len(self._connections) > self.max_connections and not self._evict_one():
             connection.is_over_limit = True
-            if len(self._connections) > self.max_open + SPARE_CONNECTIONS:
+            if len(self._connections) > self.max_connections + OVERFLOW_CONNECTIONS:
                 connection.close(CloseReason.OVER_LIMIT)
-        self._silent[connection] = None
+        self._unused[connection] = None
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forget a connection that is lost."""
+        """Remove a connection that is lost."""
         self._connections.pop(connection, None)
         self.mark_active(connection)
 
     def mark_active(self, connection: ClientConnection) -> None:
-        """Bytes have come on a connection."""
-        self._silent.pop(connection, None)
+        """Record that a connection has received data, so that it is not evicted as unused or idle."""
+        self._unused.pop(connection, None)
         self._idle.pop(connection, None)
-        self._unproven.pop(connection, None)
+        self._unvalidated.pop(connection, None)
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """All that came on a connection has got its response."""
-        (self._idle if connection.has_sent_valid_request else self._unproven)[connection] = None
+        """Record that every request received on a connection has been answered."""
+        (self._idle if connection.has_sent_valid_request else self._unvalidated)[connection] = None
 
     @property
     def is_half_full(self) -> bool:
-        """Whether more than half of the connections that may be open are."""
-        return 2 * len(self._connections) > self.max_open
+        """Whether more than half of the allowed connections are open."""
+        return 2 * len(self._connections) > self.max_connections
 
-    def close_unproven(self, reason: CloseReason) -> None:
-        """Close the idle connections on which no valid request has come."""
-        for connection in list(self._unproven):
+    def close_unvalidated(self, reason: CloseReason) -> None:
+        """Close the idle connections that have received no valid request."""
+        for connection in list(self._unvalidated):
             connection.close_if_idle(reason)
 
     def close_idle(self, reason: CloseReason) -> None:
-        """Close all connections that are owed no response."""
+        """Close all connections that have no pending response."""
         for connection in list(self._connections):
             connection.close_if_idle(reason)
 
-    def _make_way(self) -> bool:
-        """Close the connection that is of least use; false where all are in use."""
-        for group in (self._unproven, self._silent):
+    def _evict_one(self) -> bool:
+        """Close the least useful connection; false if all are in use."""
+        for group in (self._unvalidated, self._unused):
             if group:
-                self._close_oldest(group)
+                self._evict_oldest(group)
                 return True
         now = now_ns()
         for connection in self._connections:
@@ -91,12 +91,12 @@
                 connection.close(CloseReason.EVICTED)
                 return True
         if self._idle:
-            self._close_oldest(self._idle)
+            self._evict_oldest(self._idle)
             return True
         return False
 
     @staticmethod
-    def _close_oldest(group: dict[ClientConnection, None]) -> None:
+    def _evict_oldest(group: dict[ClientConnection, None]) -> None:
         oldest = next(iter(group))
         del group[oldest]
         oldest.close_if_idle(CloseReason.EVICTED)
--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: reads its requests, writes the responses, and closes when it is time."""
+"""One client connection: reads requests, writes responses in order, and enforces the timeouts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .read_control import ReadControl
 from .request_parser import ParsedRequest, RequestParser
 from .response_queue import ResponseQueue
-from .timeouts import FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT, SLOW_CLIENT_TIMEOUT
+from .timeouts import FIRST_REQUEST_TIMEOUT_NS, IDLE_TIMEOUT_NS, LINGER_TIMEOUT_NS, SLOW_CLIENT_TIMEOUT_NS
 
 if TYPE_CHECKING:
     from .server import ClientServer
@@ -26,47 +26,48 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client.
+    """Protocol of one client connection.
 
-    `ConnectionLifecycle` has its state.  Independent of that are the requests that are open
+    `ConnectionLifecycle` holds the connection state.  Independent of it are the open requests
     (`ResponseQueue`), whether reading is paused (`ReadControl`) and whether the client reads its responses.
     """
 
     def __init__(self, server: ClientServer) -> None:
         self.number = server.next_connection_number()
-        """The number of this connection, for the log."""
-        self.waiting_since = now_ns()
-        """When what is waited for began, ns: a request, the client's reading or its close."""
+        """Connection number used in the log."""
+        self.waiting_since_ns = now_ns()
+        """Start of the current wait, ns: for a request, for the client to read, or for the client to close."""
         self.has_sent_valid_request = False
-        """Whether a request that passed all checks has come."""
+        """Whether at least one request has passed all checks."""
         self.is_over_limit = False
-        """Whether there was no slot for it: its request is rejected, and it closes."""
+        """Whether no connection slot was free: the request is rejected and the connection closes."""
         self.queue = ResponseQueue()
-        """The requests that are open."""
+        """The open requests."""
         self.reading = ReadControl()
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._lifecycle = ConnectionLifecycle()
         self._parser = RequestParser(self)
-        self._arrived_ns = 0  # the earliest time at which what is being read may have come
-        self._write_blocked_since = 0  # ns, while the client does not read its responses; 0 while it does
+        self._earliest_arrival_ns = 0  # earliest time at which the data being parsed may have arrived
+        self._write_blocked_since_ns = 0  # nonzero while the client does not read its responses
         self._close_reason = CloseReason.BY_CLIENT
 
-    # Callbacks of the event loop.
+    # Event loop callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is accepted."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
+        """Register an accepted connection."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         now = now_ns()
-        connected_ns = self._server.loop_monitor.earliest_connect(now)
-        # Before the connection counts as open: it may be closed at once then, for want of a slot.
-        self.reading.connect(self._transport, connected_ns, now)
+        earliest_connect_ns = self._server.loop_monitor.earliest_connect(now)
+        # Must precede on_connected, which may close the connection at once when no slot is free.
+        self.reading.attach(self._transport, earliest_connect_ns, now)
         self._server.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the loop passes it
-        """The client has gone; it is owed no response any more."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio
+        """Release everything held for the client, which can receive no more responses."""
         self._lifecycle.handle(ConnectionEvent.LOST)
-        # First: the rest may cause responses on other connections, which count the connections that are open.
+        # Must come first: the code below may trigger responses on other connections, and these depend on the
+        # number of open connections.
         self._server.connections.remove(self)
         self._server.dispatcher.telemetry.count_closed_connection(
             self.number, self._close_reason, self._parser.in_message
@@ -80,56 +81,56 @@
         self.queue.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
+        """Parse received data."""
         if not self._lifecycle.is_open:
-            self.reading.pause(now_ns())  # discarding more and more would cost the time of other clients
+            self.reading.pause(now_ns())  # discarding unlimited data would take time from other clients
             return
         self._server.connections.mark_active(self)
         now = now_ns()
-        self._arrived_ns = min(
+        self._earliest_arrival_ns = min(
             self.reading.earliest_arrival(len(data), now), self._server.loop_monitor.earliest_arrival(now)
         )
         assert self._transport is not None
         self._server.dispatcher.telemetry.note_read(self._transport.get_extra_info("socket"))
         if not self._parser.in_message and self.has_sent_valid_request:
-            self.waiting_since = now  # not for a first request, which is due soon after connecting
+            self.waiting_since_ns = now  # not for the first request, whose timeout runs from the connect
         self._parser.feed(data)
-        # The upgrade first: it moves the connection on, and an error gets no response after that.
+        # The upgrade must come first: it changes the connection state, after which an error gets no response.
         if self._parser.is_upgrade:
             self._decline_upgrade()
         if self._parser.error is not None and self._lifecycle.is_open:
-            self._reject(self._parser.error)
-        # Last: requests that got their response at once fill the queue no longer.
+            self._respond_parse_error(self._parser.error)
+        # Must come last: requests answered immediately have already left the queue.
         if self.queue.is_full or self.queue.is_flooded:
             self.reading.pause(now_ns())
 
     def eof_received(self) -> bool:
-        """The client has ended its sending; it may still read, so open requests get their responses.
+        """Handle EOF from the client, which may still read: open requests get their responses.
 
-        False lets the loop close the connection.
+        Returning False makes the event loop close the connection.
         """
-        # Before the dispatcher hears of it: responses that it causes at once then close the connection.
+        # Must precede the report to the dispatcher: responses triggered by it then close the connection.
         self._lifecycle.handle(ConnectionEvent.CLIENT_ENDED)
         self._report_half_close()
         return bool(self.queue)
 
     def pause_writing(self) -> None:
-        """The client does not read its responses: no more is read from it either.
+        """Stop reading from a client that does not read its responses.
 
-        The loop may call this from inside `write`, in the midst of a flush: nothing is flushed here.
+        The event loop may call this from inside `write`, during a flush, so nothing is flushed here.
         """
-        self._write_blocked_since = now_ns()
-        self.reading.pause(self._write_blocked_since)
+        self._write_blocked_since_ns = now_ns()
+        self.reading.pause(self._write_blocked_since_ns)
 
     def resume_writing(self) -> None:
-        """The client reads again."""
-        self._write_blocked_since = 0  # before the flush, which resumes reading only where this is 0
+        """Continue once the client reads its responses again."""
+        self._write_blocked_since_ns = 0  # cleared before the flush, which resumes reading only if it is 0
         self.flush()
 
-    # Callbacks of the parser.
+    # Parser callbacks.
 
     def on_request(self, request: ParsedRequest) -> None:
-        """A request is complete."""
+        """Queue and route a complete request."""
         if not self._lifecycle.is_open:
             return
         if not request.keep_alive:
@@ -137,52 +138,52 @@
         exchange = Exchange(self, closes_connection=not request.keep_alive)
         self.queue.append(exchange)
         try:
-            self._server.route(exchange, request, self._arrived_ns)
+            self._server.route(exchange, request, self._earliest_arrival_ns)
         except Exception:  # the parser would report it as malformed input
-            log.exception("a request could not be accepted")
+            log.exception("unexpected error while handling a request")
             if exchange.response is None:
                 exchange.send_failure()
 
     def on_expect_continue(self) -> None:
-        """A client waits for leave to send its body; behind open requests it would look like a response."""
+        """Send 100 Continue, unless requests are open: behind those it would be taken for a response."""
         if self._transport is not None and not self.queue:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    # What exchanges and the server need.
+    # Interface for exchanges and the server.
 
     def is_between_requests(self) -> bool:
-        """Whether nothing has come that has no response yet."""
+        """Whether no request is open or partly received."""
         return not self.queue and not self._parser.in_message
 
     def is_stalled(self, now: int) -> bool:
-        """Whether its first request has begun and the rest of it does not come."""
+        """Whether the first request is partly received and its timeout has passed."""
         return (
             self._parser.in_message
             and not self.has_sent_valid_request
             and self._lifecycle.is_open
-            and now - self.waiting_since > FIRST_REQUEST_TIMEOUT
+            and now - self.waiting_since_ns > FIRST_REQUEST_TIMEOUT_NS
             and self._transport is not None
             and not self._transport.is_closing()
         )
 
     def client_has_ended(self) -> bool:
-        """Whether the client has ended its sending or gone; looks at the socket, also behind unread bytes."""
+        """Whether the client has sent EOF or disconnected, including an EOF behind unread bytes."""
         return self._lifecycle.client_has_ended or poll_socket(self._transport).ended
 
-    def closes_after(self, exchange: Exchange) -> bool:
-        """Whether the response to a request closes the connection: never where another request has come."""
+    def should_close_after(self, exchange: Exchange) -> bool:
+        """Whether the response to a request closes the connection; false if another request has arrived."""
         return (
             self._server.closes_after_response(self)
             and not self._parser.in_message
             and self.queue.last is exchange
         )
 
-    def read_no_further_request(self) -> None:
-        """The response that is due next closes the connection."""
+    def stop_reading_requests(self) -> None:
+        """Accept no further request: the next response closes the connection."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
 
     def release_request_id(self, client_request_id: bytes) -> None:
-        """A request has its response; its id may come again."""
+        """Allow the id of a request that has its response to be used again."""
         self._server.release_request_id(client_request_id)
 
     def defer_error(self, exchange: Exchange) -> None:
@@ -191,7 +192,7 @@
             self.release_errors()
 
     def release_errors(self) -> None:
-        """Write the errors that wait: a valid request has come behind them, or it is time."""
+        """Write the deferred errors, after a valid request behind them or at the next sweep."""
         self.queue.release_errors()
         self.flush()
 
@@ -203,9 +204,9 @@
             if transport is None or transport.is_closing():
                 continue
             transport.write(exchange.response)
-            self.waiting_since = now_ns()
+            self.waiting_since_ns = now_ns()
             if exchange.closes_connection:
-                self._end_sending()
+                self._close_write_side()
         if transport is None or transport.is_closing():
             return
         if self._lifecycle.client_has_ended and not self.queue:
@@ -213,79 +214,80 @@
             return
         if self.is_between_requests():
             self._server.connections.mark_idle(self)
-        # Last: reading goes on only where the responses just written have left capacity in the queue.
+        # Must come last: reading resumes only if the responses just written have made room in the queue.
         self._resume_reading()
 
     def sweep(self, now: int) -> None:
-        """Look after the connection: slow senders, slow readers and idle connections are closed."""
+        """Periodic maintenance: release deferred errors, detect closed clients, enforce the timeouts."""
         if self._transport is None:
             return
-        self.queue.begin_interval()  # before the flush, which resumes reading only after a flood is over
+        # Must precede the flush, which resumes reading only after a flood of invalid requests is over.
+        self.queue.start_error_interval()
         self.release_errors()
         if self.reading.is_paused and self.queue and self.client_has_ended():
-            self._report_half_close()  # the loop does not report an end while reading is paused
+            self._report_half_close()  # the event loop does not report EOF while reading is paused
         self._enforce_timeouts(now)
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once, without a response."""
+        """Close immediately, without a response."""
         if self._transport is not None:
             self._close_reason = reason
             self._transport.close()
 
     def close_if_idle(self, reason: CloseReason) -> None:
-        """Close between requests."""
+        """Close the connection if it is between requests."""
         if self.is_between_requests():
             self.close(reason)
 
-    # Details.
+    # Internal helpers.
 
     def _enforce_timeouts(self, now: int) -> None:
         assert self._transport is not None
-        waited = now - self.waiting_since
-        if self._write_blocked_since and now - self._write_blocked_since > SLOW_CLIENT_TIMEOUT:
+        waited_ns = now - self.waiting_since_ns
+        if self._write_blocked_since_ns and now - self._write_blocked_since_ns > SLOW_CLIENT_TIMEOUT_NS:
             self._close_reason = CloseReason.SLOW_READER
             self._transport.abort()
         elif self._lifecycle.gateway_has_ended:
-            if waited > LINGER_TIMEOUT:
+            if waited_ns > LINGER_TIMEOUT_NS:
                 self._close_reason = CloseReason.AFTER_RESPONSE
-                # A close would wait for the client to read what is written.
-                self._transport.abort() if self._write_blocked_since else self._transport.close()
-        elif self._parser.in_message and self._lifecycle.is_open and waited > SLOW_CLIENT_TIMEOUT:
-            self._reject(InvalidRequestError(408, "the request was too slow"))
-        elif self.is_between_requests() and waited > IDLE_TIMEOUT:
+                # close() would wait for the client to read the buffered data.
+                self._transport.abort() if self._write_blocked_since_ns else self._transport.close()
+        elif self._parser.in_message and self._lifecycle.is_open and waited_ns > SLOW_CLIENT_TIMEOUT_NS:
+            self._respond_parse_error(InvalidRequestError(408, "the request was too slow"))
+        elif self.is_between_requests() and waited_ns > IDLE_TIMEOUT_NS:
             self.close(CloseReason.IDLE)
 
     def _resume_reading(self) -> None:
         if (
             self.reading.is_paused
             and self._lifecycle.is_open
-            and not (self.queue.is_flooded or self._write_blocked_since or self.queue.is_full)
+            and not (self.queue.is_flooded or self._write_blocked_since_ns or self.queue.is_full)
         ):
             self.reading.resume()
 
     def _report_half_close(self) -> None:
-        for exchange in list(self.queue):  # a copy: responses that this causes leave the queue
+        for exchange in list(self.queue):  # a copy, as responses triggered by the report leave the queue
             if exchange.response is None and exchange.request is not None:
                 self._server.dispatcher.on_client_half_closed(exchange.request)
 
     def _decline_upgrade(self) -> None:
-        """Respond as if no upgrade had been wanted, then close: the parser reads no further."""
+        """Ignore an upgrade request: respond over HTTP/1.1, then close, as the parser has stopped."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
         last = self.queue.last
         if last is None:
-            self._end_sending()
+            self._close_write_side()
         else:
-            last.closes_connection = True  # once it is written: it may wait for a sweep or for others
+            last.closes_connection = True  # when written: it may be deferred or queued behind other responses
 
-    def _reject(self, error: InvalidRequestError) -> None:
-        """Framing is lost: one response, in order, and the connection closes."""
+    def _respond_parse_error(self, error: InvalidRequestError) -> None:
+        """Queue an error response that closes the connection, as message framing is lost."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
         exchange = Exchange(self, closes_connection=True)
         self.queue.append(exchange)
         exchange.respond(error.status, [], error.body)
 
-    def _end_sending(self) -> None:
-        """End the sending and linger: a close now might be a reset, which would destroy the response."""
+    def _close_write_side(self) -> None:
+        """Send EOF and linger: closing now might cause a reset, which would destroy the response."""
         self._lifecycle.handle(ConnectionEvent.GATEWAY_ENDED)
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
--- a/gateway/client/connection_state.py
+++ b/gateway/client/connection_state.py
@@ -1,7 +1,7 @@
-"""The life of a client's connection as a table of named states and events, in the manner of a TCP socket.
+"""State machine of a client connection, modeled on the half-closed states of TCP.
 
-Each direction ends once: the client's sending by an end that is read, the gateway's by `write_eof` after its
-last response.
+Each direction closes once: the client's when its EOF is read, the gateway's by `write_eof` after its last
+response.
 """
 
 from __future__ import annotations
@@ -15,25 +15,26 @@
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """State of a client connection."""
 
     OPEN = "open"
     """Requests are read."""
     LAST_REQUEST_READ = "last_request_read"
-    """No request is read any more: the last one is in or the framing is lost.  What comes is discarded."""
+    """No more requests are read: the last one has arrived or message framing is lost.  Further data is
+    discarded."""
     HALF_CLOSED = "half_closed"
-    """The client has ended its sending and may still read: it gets the responses of its open requests."""
+    """The client has sent EOF and may still read: it gets the responses to its open requests."""
     LINGERING = "lingering"
-    """The gateway has ended its sending.  What still comes is discarded until the client closes: closing with
-    unread bytes would be a reset, which destroys a response that the client has not read."""
+    """The gateway has sent EOF and discards data until the client closes.  Closing with unread data would
+    cause a reset, which destroys a response that the client has not read."""
     BOTH_ENDED = "both_ended"
-    """Both sides have ended their sending."""
+    """Both sides have sent EOF."""
     CLOSED = "closed"
     """The connection is lost."""
 
 
 class ConnectionEvent(Enum):
-    """What moves a connection on."""
+    """Event that may change the state of a client connection."""
 
     LAST_REQUEST = "last_request"
     CLIENT_ENDED = "client_ended"
@@ -64,7 +65,7 @@
     _State.LINGERING: {
         _Event.LAST_REQUEST: _State.LINGERING,
         _Event.CLIENT_ENDED: _State.BOTH_ENDED,
-        _Event.GATEWAY_ENDED: _State.LINGERING,  # an upgrade whose request got an error that closes
+        _Event.GATEWAY_ENDED: _State.LINGERING,  # an upgrade request answered with a closing error response
         _Event.LOST: _State.CLOSED,
     },
     _State.BOTH_ENDED: {
@@ -76,11 +77,11 @@
         _Event.LAST_REQUEST: _State.CLOSED,  # a request may still get a response, which is not written
     },
 }
-"""The state after each event; an event that is missing is illegal."""
+"""Next state for each state and event; an event that is missing is illegal in that state."""
 
 
 class ConnectionLifecycle:
-    """The state of one connection; what follows from it are attributes, as each request reads them."""
+    """State of one connection.  Derived flags are stored as attributes because each request reads them."""
 
     __slots__ = ("client_has_ended", "gateway_has_ended", "is_open", "state")
 
@@ -89,17 +90,17 @@
         self.is_open = True
         """Whether requests are read."""
         self.client_has_ended = False
-        """Whether the end of the client's sending has been read."""
+        """Whether EOF from the client has been read."""
         self.gateway_has_ended = False
-        """Whether the gateway has ended its sending."""
+        """Whether the gateway has sent EOF."""
 
     def handle(self, event: ConnectionEvent) -> None:
-        """Move on; an illegal event is logged and leaves the state as it is."""
-        after = TRANSITIONS[self.state].get(event)
-        if after is None:
-            log.error("illegal event %s of a connection that is %s", event.value, self.state.value)
+        """Apply an event; an illegal event is logged and leaves the state unchanged."""
+        next_state = TRANSITIONS[self.state].get(event)
+        if next_state is None:
+            log.error("illegal event %s in connection state %s", event.value, self.state.value)
             return
-        self.state = after
-        self.is_open = after is _State.OPEN
-        self.client_has_ended = after in (_State.HALF_CLOSED, _State.BOTH_ENDED)
-        self.gateway_has_ended = after in (_State.LINGERING, _State.BOTH_ENDED)
+        self.state = next_state
+        self.is_open = next_state is _State.OPEN
+        self.client_has_ended = next_state in (_State.HALF_CLOSED, _State.BOTH_ENDED)
+        self.gateway_has_ended = next_state in (_State.LINGERING, _State.BOTH_ENDED)
--- a/gateway/client/errors.py
+++ b/gateway/client/errors.py
@@ -1,4 +1,4 @@
-"""Errors that a client gets from the gateway itself."""
+"""Errors that the gateway itself returns to a client."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that breaks HTTP, a limit or the settings; nothing of it is forwarded."""
+    """A request that violates HTTP, a limit or the settings; it is not forwarded."""
 
     def __init__(self, status: int, reason: str, counter: str = "") -> None:
-        """`status` is that of the response, `reason` its body without the line end.
+        """`status` is the response status, `reason` the response body without the final newline.
 
-        `counter` is what the summary line counts it by, where that isn't the reason.
+        `counter` is the name under which the summary line counts the error; by default derived from `reason`.
         """
         super().__init__(reason)
         self.status = status
@@ -20,5 +20,5 @@
 
     @property
     def body(self) -> bytes:
-        """The body of the response."""
+        """The response body."""
         return self.reason.encode() + b"\n"
--- a/gateway/client/exchange.py
+++ b/gateway/client/exchange.py
@@ -1,4 +1,4 @@
-"""A request's place in the order of responses of its connection, and how a response is written."""
+"""One request and its response on a client connection, and serialization of the response."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 log = logging.getLogger("gateway.client.exchange")
 
-NOT_FORWARDED = HOP_BY_HOP_HEADERS | {LOAD_REPORT_HEADER}
-"""Headers of an endpoint's response that the client does not get; in lower case."""
+DROPPED_RESPONSE_HEADERS = HOP_BY_HOP_HEADERS | {LOAD_REPORT_HEADER}
+"""Endpoint response headers that are not forwarded to the client, in lower case."""
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -32,67 +32,67 @@
 
 
 class Exchange:
-    """One request of a connection and its response: the dispatcher's `ClientExchange`."""
+    """One request of a connection and its response; implements the dispatcher's `ClientExchange`."""
 
     __slots__ = ("client_request_id", "closes_connection", "connection", "is_deferred", "request", "response")
 
     def __init__(self, connection: ClientConnection, closes_connection: bool) -> None:
-        """`closes_connection`: no request is read behind this one."""
+        """`closes_connection`: whether the connection closes after this response."""
         self.connection = connection
         self.closes_connection = closes_connection
         self.response: bytes | None = None
-        """The response as it is written; None until there is one."""
+        """The serialized response; None until it is set."""
         self.is_deferred = False
         """Whether the response, and all behind it, waits for a sweep or for a valid request."""
         self.request: Request | None = None
-        """The dispatcher's request; None for what it has not taken."""
+        """The dispatcher's request; None if the dispatcher did not accept it."""
         self.client_request_id = b""
-        """Its X-Request-ID, which counts as open until there is a response; empty for what is not taken."""
+        """The X-Request-ID, which counts as open until the response is set; empty if not accepted."""
 
     @property
     def connection_number(self) -> int:
-        """The number of its connection, for the log."""
+        """Connection number used in the log."""
         return self.connection.number
 
     def client_has_ended(self) -> bool:
-        """Whether the client has ended its sending or gone, read or unread; costs a system call."""
+        """Whether the client has sent EOF or disconnected, read or not; costs a system call."""
         return self.connection.client_has_ended()
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Set the response; it is written as soon as those before it have been.
+        """Set the response; it is written once all earlier responses have been written.
 
-        A second response to one request is logged and dropped: the client would take it for the response to
-        its next request.
+        A second response to the same request is logged and dropped, as the client would take it for the
+        response to its next request.
         """
         if self.response is not None:
-            log.error("a second response to one request")
+            log.error("dropped a second response to one request")
             return
         self.connection.release_request_id(self.client_request_id)
         if not self.closes_connection:
-            self.closes_connection = self.connection.closes_after(self)
+            self.closes_connection = self.connection.should_close_after(self)
         if self.closes_connection:
-            self.connection.read_no_further_request()
-        self.response = _serialize(status, headers, body, self.closes_connection)
+            self.connection.stop_reading_requests()
+        self.response = _serialize_response(status, headers, body, self.closes_connection)
         self.connection.flush()
 
     def send_response(self, response: Response) -> None:
-        """Pass on an endpoint's response, its body unchanged."""
-        headers = [item for item in response.headers if item[0].lower() not in NOT_FORWARDED]
+        """Forward an endpoint's response with its body unchanged."""
+        headers = [header for header in response.headers if header[0].lower() not in DROPPED_RESPONSE_HEADERS]
         self.respond(200, headers, response.body)
 
     def send_failure(self) -> None:
-        """Respond without any promise about the effect."""
+        """Send a failure: the request may or may not have been processed."""
         self.respond(502, [], b"failed\n")
 
     def send_rejection(self, retry_after_ns: int) -> None:
-        """Respond that nothing was processed; `retry_after_ns` is when to send it again, 0 for no advice."""
+        """Send a rejection: the request was not processed.  `retry_after_ns` of 0 omits Retry-After."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / SECOND))] if retry_after_ns > 0 else []
         self.respond(503, headers, b"refused\n")
 
 
-def _serialize(status: int, headers: list[Header], body: bytes, closes_connection: bool) -> bytes:
+def _serialize_response(status: int, headers: list[Header], body: bytes, closes_connection: bool) -> bytes:
     lines = [b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (status, REASON_PHRASES[status], len(body))]
-    lines += [b"%b: %b\r\n" % item for item in headers]
+    lines += [b"%b: %b\r\n" % header for header in headers]
     if closes_connection:
         lines.append(b"Connection: close\r\n")
     return b"%b\r\n%b" % (b"".join(lines), body)
--- a/gateway/client/listener.py
+++ b/gateway/client/listener.py
@@ -1,8 +1,8 @@
-"""Accepts the connections of clients.
+"""Accepts client connections.
 
-The event loop's own server closes every connection that waits to be accepted once a call of accept fails for
-want of descriptors (libuv, `uv__emfile_trick`): clients whose requests lie there get no response, though a
-descriptor is often free again a moment later.  Here they wait.
+The event loop's own server closes every pending connection once accept fails because no file descriptor is
+free (libuv, `uv__emfile_trick`).  Clients with requests on those connections would get no response, although
+a descriptor often becomes free a moment later.  This listener leaves them in the backlog.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 log = logging.getLogger("gateway.client.listener")
 
-BACKLOG = 1024
-"""Connections that wait to be accepted, at most."""
+LISTEN_BACKLOG = 1024
+"""Maximum number of connections waiting to be accepted."""
 ACCEPTS_PER_TURN = 8
-"""Connections that are accepted in one turn of the loop.  They count as open two turns later: twice as many
-more than are allowed may hold a descriptor meanwhile."""
-RETRY_DELAY = 10 * MS
-"""Time until accept is called again after the system could not give a descriptor or memory, ns."""
-CONNECTION_ERRORS = frozenset(
+"""Connections accepted in one turn of the event loop.  They count as open two turns later, so that up to
+twice as many connections above the limit may hold a descriptor meanwhile."""
+ACCEPT_RETRY_DELAY_NS = 10 * MS
+"""Delay before accept is called again after the system had no free descriptor or memory, ns."""
+PER_CONNECTION_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -43,83 +43,86 @@
         errno.EOPNOTSUPP,
     )
 )
-"""Errors that accept(2) reports of one connection: the next may be sound.  After others, such as a want of
-descriptors or memory, the connection still waits, and the same call would fail again."""
+"""Errors of accept(2) that concern one connection only: the next one may be accepted.  After other errors,
+such as a lack of descriptors or memory, the connection is still pending and the same call would fail again."""
 
 
 class Listener:
     """A listening socket that hands accepted connections to the event loop."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, timers: Timers, make: Callable[[], asyncio.Protocol]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        timers: Timers,
+        protocol_factory: Callable[[], asyncio.Protocol],
     ) -> None:
-        """`make` gives the protocol of each connection."""
+        """`protocol_factory` creates the protocol of each connection."""
         self._loop = loop
         self._timers = timers
-        self._make_protocol = make
+        self._protocol_factory = protocol_factory
         self._socket: socket.socket | None = None  # None while not listening
-        self._tasks: set[asyncio.Task[None]] = set()  # the loop itself refers to tasks only weakly
+        self._tasks: set[asyncio.Task[None]] = set()  # the event loop holds only weak references to tasks
 
     def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen at an address.
+        """Listen on an address.
 
         Returns:
-            The address, with the port that the system has chosen in place of 0.
+            The bound address, with the port chosen by the system if 0 was given.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: The address can't be bound.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self._socket = socket.create_server(address, family=family, backlog=BACKLOG)
+        self._socket = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG)
         self._socket.setblocking(False)
         self._loop.add_reader(self._socket, self._accept_batch)
-        bound: tuple[str, int] = self._socket.getsockname()[:2]
-        return bound
+        bound_address: tuple[str, int] = self._socket.getsockname()[:2]
+        return bound_address
 
     def close(self) -> None:
-        """Accept the connections that wait, then stop listening."""
+        """Accept all pending connections, then stop listening."""
         if self._socket is None:
             return
-        # Before the socket closes: the loop must not watch a descriptor that may soon be another file's.
+        # Must precede the socket's close: its descriptor number may soon belong to another file.
         self._loop.remove_reader(self._socket)
-        for _ in range(BACKLOG):
-            if not self._accept(self._socket):
+        for _ in range(LISTEN_BACKLOG):
+            if not self._accept_one(self._socket):
                 break
         self._socket.close()
         self._socket = None
 
     def _accept_batch(self) -> None:
         for _ in range(ACCEPTS_PER_TURN):
-            if self._socket is None or not self._accept(self._socket):
+            if self._socket is None or not self._accept_one(self._socket):
                 return
 
-    def _accept(self, listening: socket.socket) -> bool:
-        """Accept one connection; false where none waits or the system can't give a descriptor for it."""
+    def _accept_one(self, listening_socket: socket.socket) -> bool:
+        """Accept one connection; false if none is pending or the system has no descriptor for it."""
         try:
-            accepted, _ = listening.accept()
+            accepted, _ = listening_socket.accept()
         except BlockingIOError:
             return False
         except OSError as error:
-            if error.errno in CONNECTION_ERRORS:
+            if error.errno in PER_CONNECTION_ERRORS:
                 return True
             log.warning("accept failed: %s", error)
-            # The socket stays readable: without a pause the loop would call accept without end.
-            self._loop.remove_reader(listening)
-            self._timers.call_after(RETRY_DELAY, self._resume, listening)
+            # The socket stays readable: without a pause the event loop would call accept continuously.
+            self._loop.remove_reader(listening_socket)
+            self._timers.call_after(ACCEPT_RETRY_DELAY_NS, self._resume_accepting, listening_socket)
             return False
-        task = self._loop.create_task(self._connect(accepted))
+        task = self._loop.create_task(self._attach_protocol(accepted))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return True
 
-    def _resume(self, listening: socket.socket) -> None:
-        if self._socket is listening:  # it may have been closed meanwhile
-            self._loop.add_reader(listening, self._accept_batch)
+    def _resume_accepting(self, listening_socket: socket.socket) -> None:
+        if self._socket is listening_socket:  # it may have been closed during the delay
+            self._loop.add_reader(listening_socket, self._accept_batch)
 
-    async def _connect(self, accepted: socket.socket) -> None:
-        """Give an accepted connection its transport and protocol."""
+    async def _attach_protocol(self, accepted: socket.socket) -> None:
+        """Create the transport and protocol of an accepted connection."""
         try:
-            await self._loop.connect_accepted_socket(self._make_protocol, accepted)
-        except OSError as error:  # the connection has broken meanwhile
-            log.info("an accepted connection could not be served: %s", error)
+            await self._loop.connect_accepted_socket(self._protocol_factory, accepted)
+        except OSError as error:  # the connection broke after it was accepted
+            log.info("could not set up an accepted connection: %s", error)
             accepted.close()
--- a/gateway/client/read_control.py
+++ b/gateway/client/read_control.py
@@ -1,4 +1,4 @@
-"""Pauses reading from a client, and knows how old the bytes may be that are read after a pause."""
+"""Pauses reading from a client and tracks how old the bytes read after a pause may be."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 
 __all__ = ["ReadControl"]
 
-READ_SIZE = 64 * 1024
-"""A read of fewer bytes has emptied the socket: the loop reads more than that at once."""
+FULL_READ_BYTES = 64 * 1024
+"""A read of fewer bytes has emptied the socket, as the event loop's read buffer is larger."""
 
 
 class ReadControl:
-    """Whether a connection is read, and since when unread bytes may have waited."""
+    """Whether a connection is being read, and how long unread bytes may have been waiting."""
 
-    __slots__ = ("_transport", "_unread_since", "client_ended_unread", "is_paused")
+    __slots__ = ("_transport", "_unread_since_ns", "client_ended_while_paused", "is_paused")
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._unread_since = 0  # ns; 0 where what is read next has just come
+        self._unread_since_ns = 0  # 0 if the next bytes read have just arrived
         self.is_paused = False
-        self.client_ended_unread = False
-        """Whether the client's end was there, unread, as reading was resumed: it may have left long ago."""
+        self.client_ended_while_paused = False
+        """Whether an unread EOF was pending when reading resumed: the client may have left long ago."""
 
-    def connect(self, transport: asyncio.Transport, connected_ns: int, now: int) -> None:
-        """The connection is accepted at `now`; it may have been up since `connected_ns`."""
+    def attach(self, transport: asyncio.Transport, earliest_connect_ns: int, now: int) -> None:
+        """Start with a connection accepted at `now` and established at `earliest_connect_ns` or later."""
         self._transport = transport
-        self._unread_since = connected_ns if connected_ns < now else 0
+        self._unread_since_ns = earliest_connect_ns if earliest_connect_ns < now else 0
 
-    def earliest_arrival(self, size: int, now: int) -> int:
-        """The earliest time, ns, at which a read of so many bytes at `now` may have come."""
-        earliest = self._unread_since or now
-        if size < READ_SIZE:
-            self._unread_since = 0
-        return earliest
+    def earliest_arrival(self, size_bytes: int, now: int) -> int:
+        """The earliest time, ns, at which a read of `size_bytes` at `now` may have arrived."""
+        earliest_ns = self._unread_since_ns or now
+        if size_bytes < FULL_READ_BYTES:
+            self._unread_since_ns = 0
+        return earliest_ns
 
     def pause(self, now: int) -> None:
-        """Read no more, where reading is not paused yet."""
+        """Pause reading, unless it is paused already."""
         if not self.is_paused and self._transport is not None:
             self.is_paused = True
-            self._unread_since = now
+            self._unread_since_ns = now
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again.
+        """Resume reading.
 
-        The socket is looked at before the loop reads: afterwards an end that waited during the pause can't be
-        distinguished from one that has just come.
+        The socket is polled before the event loop reads it: afterwards an EOF that arrived during the pause
+        can't be distinguished from a new one.
         """
         self.is_paused = False
         assert self._transport is not None
-        waiting = poll_socket(self._transport)
-        if not waiting.readable:
-            self._unread_since = 0
-        self.client_ended_unread = waiting.ended
+        socket_state = poll_socket(self._transport)
+        if not socket_state.readable:
+            self._unread_since_ns = 0
+        self.client_ended_while_paused = socket_state.ended
         self._transport.resume_reading()
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -1,7 +1,7 @@
-"""Parses the requests of one connection and enforces the limits on their heads and bodies.
+"""Parses the requests of one connection and enforces the size limits on heads and bodies.
 
-The callbacks of httptools only note what comes.  What a callback raises would be lost in the parser, which
-reports it as malformed input: an error is stored and is read after `feed`.
+The httptools callbacks only record what they receive.  An exception raised in a callback would be lost, as
+the parser reports it as malformed input; errors are therefore stored and read after `feed`.
 """
 
 from __future__ import annotations
@@ -15,45 +15,45 @@
 
 __all__ = ["ParsedRequest", "ParserHandler", "RequestParser"]
 
-MAX_HEAD = 16 * 1024
-"""Longest head of a request, bytes."""
+MAX_HEAD_BYTES = 16 * 1024
+"""Maximum size of a request head, bytes."""
 MAX_HEADERS = 100
-"""Most headers of a request."""
-MAX_LENGTH_DIGITS = 20
-"""Digits of Content-Length that are read: more of them exceed any limit, and are slow to convert."""
+"""Maximum number of request headers."""
+MAX_CONTENT_LENGTH_DIGITS = 20
+"""Digits of Content-Length that are converted: more exceed any limit and are slow to convert."""
 
 
 class ParsedRequest(NamedTuple):
-    """A complete request as it was sent."""
+    """A complete request as received."""
 
     method: bytes
     target: bytes
     headers: list[Header]
     body: bytes
     keep_alive: bool
-    """Whether the client may send another request behind it (RFC 9112, 9.3)."""
+    """Whether the client may send another request on the same connection (RFC 9112, 9.3)."""
 
 
 class ParserHandler(Protocol):
-    """The connection that a parser works for."""
+    """Receives the events of a request parser."""
 
     def on_request(self, request: ParsedRequest) -> None:
         """A request is complete."""
 
     def on_expect_continue(self) -> None:
-        """A client waits for leave to send its body (RFC 9110, 10.1.1)."""
+        """The client waits for 100 Continue before it sends its body (RFC 9110, 10.1.1)."""
 
 
 class RequestParser:
-    """Turns the bytes of one connection into requests."""
+    """Parses the byte stream of one connection into requests."""
 
     def __init__(self, handler: ParserHandler) -> None:
         self.error: InvalidRequestError | None = None
-        """The first fault of framing or limits; the handler gets no request after it."""
+        """The first framing or limit violation; the handler receives no request after it."""
         self.is_upgrade = False
-        """Whether a request wanted another protocol: the parser reads no further."""
+        """Whether a request asked for a protocol upgrade: the parser stops there."""
         self.in_message = False
-        """Whether a request has begun and is not complete."""
+        """Whether a request is partly received."""
         self._handler = handler
         self._parser = httptools.HttpRequestParser(self)
         self._reset()
@@ -62,56 +62,56 @@
         self._target = b""
         self._headers: list[Header] = []
         self._body = bytearray()
-        self._head_size = 0
+        self._head_bytes = 0
         self._in_head = False
         self.in_message = False
 
     def feed(self, data: bytes) -> None:
-        """Parse what has been read; calls the handler for each request that it completes."""
+        """Parse received data and call the handler for each request that it completes."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self.is_upgrade = True
         except httptools.HttpParserError as error:
-            self._fail(400, f"malformed: {error}")
+            self._record_error(400, f"malformed: {error}")
         if self._in_head and self.error is None:
-            self._head_size += len(data)  # a head without end may show no header for a callback to count
-            if self._head_size > 2 * MAX_HEAD:
-                self._fail(431, "a head too long")
+            self._head_bytes += len(data)  # an endless head may never reach a callback that counts it
+            if self._head_bytes > 2 * MAX_HEAD_BYTES:
+                self._record_error(431, "a head too long")
 
     def close(self) -> None:
-        """Free the parser, which refers back to this object: no cycle is left to the garbage collector."""
+        """Break the reference cycle with the httptools parser, so that no garbage collection is needed."""
         del self._parser, self._handler
 
-    def _fail(self, status: int, reason: str) -> None:
+    def _record_error(self, status: int, reason: str) -> None:
         if self.error is None:
             self.error = InvalidRequestError(status, reason)
 
-    def _count_head(self, size: int) -> None:
-        self._head_size += size
-        if self._head_size > MAX_HEAD or len(self._headers) >= MAX_HEADERS:
-            self._fail(431, "a head too long")
+    def _check_head_limits(self, size_bytes: int) -> None:
+        self._head_bytes += size_bytes
+        if self._head_bytes > MAX_HEAD_BYTES or len(self._headers) >= MAX_HEADERS:
+            self._record_error(431, "a head too long")
 
-    # Callbacks of httptools.
+    # httptools callbacks.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start a request."""
         self._reset()
         self._in_head = self.in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Append a part of the request target."""
         self._target += url
-        self._count_head(len(url))
+        self._check_head_limits(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or a trailer: these count but are dropped, as one could name another id or length."""
-        self._count_head(len(name) + len(value or b"") + 4)
+        """Store a header.  Trailers count towards the limits but are dropped: one could set an id or length."""
+        self._check_head_limits(len(name) + len(value or b"") + 4)
         if self.error is None and self._in_head:
             self._headers.append((name, field_value(value)))
 
     def on_headers_complete(self) -> None:
-        """The head is complete: its framing must be unambiguous (RFC 9112, 6.3)."""
+        """Check that the framing of a complete head is unambiguous (RFC 9112, 6.3)."""
         self._in_head = False
         if self.error is not None:
             return
@@ -122,26 +122,28 @@
                 values.append(value)
         lengths, codings, expectations = framing.values()
         if lengths and (codings or len(lengths) > 1):
-            self._fail(400, "contradictory framing")
+            self._record_error(400, "contradictory framing")
         elif any(value.lower() != b"chunked" for value in codings):
-            self._fail(400, "an unknown coding")
-        elif lengths and (not lengths[0].isdigit() or int(lengths[0][:MAX_LENGTH_DIGITS]) > MAX_BODY):
-            self._fail(413, "a body too long")
+            self._record_error(400, "an unknown coding")
+        elif lengths and (
+            not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY
+        ):
+            self._record_error(413, "a body too long")
         elif any(value.lower() == b"100-continue" for value in expectations):
             self._handler.on_expect_continue()
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Append a part of the body."""
         if self.error is not None:
             return
         if len(self._body) + len(body) > MAX_BODY:
-            self._fail(413, "a body too long")
+            self._record_error(413, "a body too long")
             self._body.clear()
         else:
             self._body += body
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Pass the complete request to the handler."""
         self.in_message = False
         if self.error is not None:
             return
--- a/gateway/client/response_queue.py
+++ b/gateway/client/response_queue.py
@@ -1,9 +1,9 @@
-"""The open requests of one connection: responses leave in the order of the requests (RFC 9112, 9.3.2).
+"""The open requests of one connection: responses are sent in the order of the requests (RFC 9112, 9.3.2).
 
-Responses to invalid requests are paced, so that a client that sends such requests as fast as it gets errors
-costs little.  One error is given at once between two sweeps, and the next waits for the sweep.  Reading goes
-on, as a valid request may come on the same connection, behind the error or crossing it.  Only where so many
-invalid requests are sent without waiting that they fill the queue, nothing more is read up to the sweep.
+Responses to invalid requests are paced to limit the cost of a client that sends an invalid request as soon as
+it receives each error.  One error per sweep interval is sent at once, and the next waits for the sweep.
+Reading continues, as a valid request may follow on the same connection.  Only when so many invalid requests
+are pipelined that they fill the queue does reading pause until the sweep.
 """
 
 from __future__ import annotations
@@ -15,54 +15,54 @@
 __all__ = ["MAX_PIPELINED", "ResponseQueue"]
 
 MAX_PIPELINED = 8
-"""Requests of one connection that are served at once; more are rejected and no more is read."""
+"""Requests of one connection that are served concurrently; more are rejected, and reading pauses."""
 
 
 class ResponseQueue(deque[Exchange]):
-    """The exchanges of one connection that are not written yet, in the order of their requests."""
+    """The exchanges of one connection whose responses are not written yet, in the order of their requests."""
 
-    __slots__ = ("_has_given_error", "is_flooded")
+    __slots__ = ("_error_sent", "is_flooded")
 
     def __init__(self) -> None:
         super().__init__()
-        self._has_given_error = False  # an invalid request has got its response since the last sweep
+        self._error_sent = False  # whether an invalid request has got its response since the last sweep
         self.is_flooded = False
-        """Whether more invalid requests came at once than get a response in a sweep."""
+        """Whether more invalid requests arrived since the last sweep than the queue holds."""
 
     def pop_ready(self) -> Exchange | None:
-        """Remove the first exchange if its response may be written; None if it may not."""
+        """Remove and return the first exchange if its response can be written now, else None."""
         if not self or self[0].response is None or self[0].is_deferred:
             return None
         return self.popleft()
 
     @property
     def last(self) -> Exchange | None:
-        """The exchange of the request that came last; None where no request is open."""
+        """The exchange of the latest request; None if no request is open."""
         return self[-1] if self else None
 
     @property
     def is_full(self) -> bool:
-        """Whether no more is read until a response has been written."""
+        """Whether reading must pause until a response has been written."""
         return len(self) >= MAX_PIPELINED
 
     @property
     def is_overfull(self) -> bool:
-        """Whether more requests are open than are served at once."""
+        """Whether more requests are open than are served concurrently."""
         return len(self) > MAX_PIPELINED
 
     def defer_error(self, exchange: Exchange) -> bool:
-        """Pace the response to an invalid request; true where those that wait are due by now."""
-        exchange.is_deferred = self._has_given_error
-        self._has_given_error = True
+        """Pace the response to an invalid request; true if all deferred errors must be released now."""
+        exchange.is_deferred = self._error_sent
+        self._error_sent = True
         if self.is_overfull:
             self.is_flooded = True
         return self.is_overfull
 
     def release_errors(self) -> None:
-        """Let the errors that wait be written."""
+        """Allow the deferred errors to be written."""
         for exchange in self:
             exchange.is_deferred = False
 
-    def begin_interval(self) -> None:
-        """A sweep has come: an error may be given at once again."""
-        self._has_given_error = self.is_flooded = False
+    def start_error_interval(self) -> None:
+        """Start a sweep interval, in which one error may again be sent at once."""
+        self._error_sent = self.is_flooded = False
--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -1,4 +1,4 @@
-"""The connections of clients together: routes their requests, and shuts down gracefully."""
+"""Manages all client connections: routes their requests and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -21,81 +21,81 @@
 
 
 class ClientServer:
-    """All connections of clients."""
+    """All client connections of one gateway."""
 
     def __init__(
         self,
         dispatcher: Dispatcher,
         settings: Settings,
         tenants: dict[bytes, int],
-        max_open: int,
+        max_connections: int,
         loop_monitor: LoopMonitor,
     ) -> None:
-        """`tenants` has the slot of each tenant by its name; `max_open` bounds the connections."""
+        """`tenants` maps tenant names to slots; `max_connections` limits the open connections."""
         self.dispatcher = dispatcher
         self.loop_monitor = loop_monitor
-        self.connections = ConnectionTable(max_open)
+        self.connections = ConnectionTable(max_connections)
         self.shutting_down = False
-        """Whether the gateway is unready, as it will stop."""
+        """Whether the gateway reports itself as not ready because it is about to stop."""
         self.draining = False
         """Whether connections close as soon as they are idle."""
         self._tenants = tenants
         self._validator = RequestValidator(settings, tenants)
         self._last_connection_number = 0
-        self._open_ids: set[bytes] = set()  # X-Request-ID of the requests without a response
+        self._open_request_ids: set[bytes] = set()  # X-Request-ID of each request without a response
 
     def on_settings(self, settings: Settings) -> None:
-        """Other settings are in force, for the balancer too."""
+        """Apply new settings, also to the balancer."""
         self._validator = RequestValidator(settings, self._tenants)
         self.dispatcher.on_settings(settings)
 
     # Connections.
 
     def create_protocol(self) -> ClientConnection:
-        """The protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return ClientConnection(self)
 
     def next_connection_number(self) -> int:
-        """The number of a new connection, for the log."""
+        """Allocate a connection number for the log."""
         self._last_connection_number += 1
         return self._last_connection_number
 
     def on_connected(self, connection: ClientConnection) -> None:
-        """A connection is accepted."""
+        """Register an accepted connection."""
         self.dispatcher.telemetry.count(CounterName.ACCEPTED)
         self.connections.admit(connection)
 
     def closes_after_response(self, connection: ClientConnection) -> bool:
-        """Whether a response closes its connection: where half the slots are taken, and in a drain.
+        """Whether a response closes its connection: if over half the slots are taken, and while draining.
 
-        Clients that send one request and stay would otherwise take all connections.  During a graceful
-        shutdown no new ones come, and those that are of use stay until the drain.
+        Otherwise clients that send one request and stay connected would take all slots.  During a graceful
+        shutdown no new connections arrive, and those that have sent a valid request stay until the drain.
         """
         if self.shutting_down:
             return self.draining or not connection.has_sent_valid_request
         return self.connections.is_half_full
 
     @property
-    def max_open(self) -> int:
-        """Connections that may be open."""
-        return self.connections.max_open
+    def max_connections(self) -> int:
+        """Maximum number of open connections."""
+        return self.connections.max_connections
 
-    @max_open.setter
-    def max_open(self, value: int) -> None:
-        self.connections.max_open = value
+    @max_connections.setter
+    def max_connections(self, value: int) -> None:
+        self.connections.max_connections = value
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self.connections)
 
     @property
-    def reading_connections(self) -> int:
-        """Connections that are not between requests."""
+    def busy_connections(self) -> int:
+        """Number of connections with an open or partly received request."""
         return sum(1 for connection in self.connections if not connection.is_between_requests())
 
     def sweep(self, now: int) -> None:
-        """Look after all connections; `now` in ns."""
+        """Run the periodic maintenance of all connections; `now` in ns."""
         for connection in list(self.connections):
             connection.sweep(now)
 
@@ -103,24 +103,24 @@
 
     @property
     def ready(self) -> bool:
-        """Whether a request could be served."""
+        """Whether the gateway can serve requests."""
         return self.dispatcher.has_endpoints and not self.shutting_down
 
     def route(self, exchange: Exchange, request: ParsedRequest, arrived_ns: int) -> None:
-        """Handle a complete request, which has come no earlier than at `arrived_ns`."""
+        """Handle a complete request that arrived at `arrived_ns` or later."""
         if request.method == b"GET" and request.target.split(b"?", 1)[0] == READINESS_PATH:
             self._respond_readiness(exchange)
             return
         try:
             client_request = self._validator.validate(request)
-            self._check_id_is_free(client_request)
+            self._check_id_not_open(client_request)
         except InvalidRequestError as error:
             self._respond_invalid(exchange, request, error, is_paced=True)
             return
         connection = exchange.connection
         connection.release_errors()
         if not client_request.timeout_ns:
-            # Not paced: its client is owed a response at once, however often it sends this.
+            # Not paced: the client is entitled to an immediate response, however often it sends this.
             no_time_left = InvalidRequestError(400, "no time left")
             self._respond_invalid(exchange, request, no_time_left, is_paced=False)
             return
@@ -134,12 +134,12 @@
             return
         connection.has_sent_valid_request = True
         exchange.client_request_id = client_request.request_id
-        self._open_ids.add(client_request.request_id)
+        self._open_request_ids.add(client_request.request_id)
         exchange.request = self.dispatcher.accept_request(exchange, client_request, arrived_ns)
 
     def release_request_id(self, client_request_id: bytes) -> None:
-        """A request is over; its id may come again."""
-        self._open_ids.discard(client_request_id)
+        """Allow the id of a finished request to be used again."""
+        self._open_request_ids.discard(client_request_id)
 
     def _respond_readiness(self, exchange: Exchange) -> None:
         if self.ready:
@@ -147,9 +147,9 @@
         else:
             exchange.respond(503, [], b"not ready\n")
 
-    def _check_id_is_free(self, client_request: ClientRequest) -> None:
-        """Two open requests with one id would each have attempts of their own, and be processed twice."""
-        if client_request.request_id in self._open_ids:
+    def _check_id_not_open(self, client_request: ClientRequest) -> None:
+        """Refuse an id that is already open: each of the two requests would be attempted and processed."""
+        if client_request.request_id in self._open_request_ids:
             raise InvalidRequestError(400, "a request with this id is open", counter="id_in_use")
 
     def _respond_invalid(
@@ -164,26 +164,26 @@
     # Shutdown.
 
     def begin_shutdown(self) -> None:
-        """Become unready at once, and close the idle connections on which no valid request has come.
+        """Become not ready at once, and close idle connections that have received no valid request.
 
-        The other connections stay for now: otherwise nobody might serve while the front looks for another
-        gateway, or while the one that stopped before is not back.  The cost: where all others are up and this
-        gateway is slow, its clients stay with it for a second longer.
+        The other connections stay open for now: otherwise no gateway might serve while the front end
+        looks for another one, or while the gateway that stopped before is not back.  The cost is that
+        clients of a slow gateway stay with it for a second longer even if all other gateways are up.
         """
         self.shutting_down = True
-        self.connections.close_unproven(CloseReason.SHUTDOWN)
+        self.connections.close_unvalidated(CloseReason.SHUTDOWN)
 
     def drain(self) -> None:
-        """Close connections between requests, with `Connection: close` on the responses of the others."""
+        """Close idle connections now, and the others with `Connection: close` on their last response."""
         self.draining = True
         self.connections.close_idle(CloseReason.SHUTDOWN)
 
 
 def _rejection_reason(connection: ClientConnection) -> GatewayReason | None:
-    """Why a valid request is rejected, nothing of it being sent; None where it is accepted."""
-    if connection.queue.is_overfull:  # good clients send one at a time
+    """Why a valid request is rejected without being forwarded; None if it is accepted."""
+    if connection.queue.is_overfull:  # well-behaved clients send one request at a time
         return GatewayReason.PIPELINE_FULL
-    if connection.reading.client_ended_unread:  # the client may have gone long ago
+    if connection.reading.client_ended_while_paused:  # the client may have left long ago
         return GatewayReason.LATE_READ
     if connection.is_over_limit:
         return GatewayReason.NO_CONNECTION_SLOT
--- a/gateway/client/timeouts.py
+++ b/gateway/client/timeouts.py
@@ -1,18 +1,18 @@
-"""How long a client's connection may wait, and for what."""
+"""Timeouts of client connections."""
 
 from __future__ import annotations
 
 from balancer import MS, SECOND
 
-__all__ = ["FIRST_REQUEST_TIMEOUT", "IDLE_TIMEOUT", "LINGER_TIMEOUT", "SLOW_CLIENT_TIMEOUT"]
+__all__ = ["FIRST_REQUEST_TIMEOUT_NS", "IDLE_TIMEOUT_NS", "LINGER_TIMEOUT_NS", "SLOW_CLIENT_TIMEOUT_NS"]
 
-SLOW_CLIENT_TIMEOUT = 2200 * MS
-"""Longest time for a request to arrive, and for a client to take its response, ns: 3 s are allowed, and a
-sweep may come late by its interval."""
-FIRST_REQUEST_TIMEOUT = 500 * MS
-"""A connection whose first request is not complete so long after connecting, ns, makes way for others: the
-requests of good clients come complete."""
-IDLE_TIMEOUT = 2 * SECOND
-"""An idle connection closes after this time, ns: many clients send one request and never close."""
-LINGER_TIMEOUT = 1 * SECOND
-"""How long what still arrives is discarded after the last response, ns, so that the client can read that."""
+SLOW_CLIENT_TIMEOUT_NS = 2200 * MS
+"""Maximum time for a request to arrive, and for a client to read its response, ns.  The limit is 3 s; the
+margin allows for a sweep that runs late by one interval."""
+FIRST_REQUEST_TIMEOUT_NS = 500 * MS
+"""Time after connecting, ns, after which a connection with an incomplete first request may be evicted:
+well-behaved clients send the request at once and complete."""
+IDLE_TIMEOUT_NS = 2 * SECOND
+"""Idle time, ns, after which a connection closes: many clients send one request and never close."""
+LINGER_TIMEOUT_NS = 1 * SECOND
+"""Time, ns, for which incoming data is discarded after the last response, so that the client can read it."""
--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -1,34 +1,34 @@
-"""Which connections of clients are open, and which of them close to make way for others."""
+"""Limits on open client connections: timeouts, rejection above the limit, and the order of eviction."""
 
 from __future__ import annotations
 
 import pytest
 
 from balancer import MS, SECOND
-from gateway.client.timeouts import FIRST_REQUEST_TIMEOUT, IDLE_TIMEOUT, SLOW_CLIENT_TIMEOUT
+from gateway.client.timeouts import FIRST_REQUEST_TIMEOUT_NS, IDLE_TIMEOUT_NS, SLOW_CLIENT_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.support.loopback import FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.stub_balancers import Sends
 
 
-def age_connections(harness: GatewayHarness, wait_ns: int) -> None:
-    """Have the open connections begin to wait so much earlier."""
+def shift_wait_start(harness: GatewayHarness, wait_ns: int) -> None:
+    """Make all open connections appear to have been waiting for `wait_ns` longer."""
     for connection in harness.gateway.server.connections:
-        connection.waiting_since -= wait_ns
+        connection.waiting_since_ns -= wait_ns
 
 
-async def test_slow_and_silent_clients_are_closed() -> None:
+async def test_connections_of_slow_and_unused_clients_are_closed() -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
         slow, idle = await harness.client(), await harness.client()
         slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
         await wait_until(
             lambda: harness.gateway.server.open_connections == 2
-            and harness.gateway.server.reading_connections == 1
+            and harness.gateway.server.busy_connections == 1
         )
-        harness.gateway.server.sweep(now_ns() + SLOW_CLIENT_TIMEOUT + SECOND)
+        harness.gateway.server.sweep(now_ns() + SLOW_CLIENT_TIMEOUT_NS + SECOND)
         assert (await slow.response())[0] == 408
-        harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT + SECOND)
+        harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
         assert await idle.reader.read() == b""
 
 
@@ -36,14 +36,14 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint, make=Sends)
-        harness.gateway.server.max_open = 2
+        harness.gateway.server.max_connections = 2
         busy = [await harness.client() for _ in range(2)]
         for number, client in enumerate(busy):
             client.send(request(request_id=f"b{number}"))
-        seen = [await endpoint.received.get() for _ in busy]
+        forwarded = [await endpoint.received.get() for _ in busy]
         status, headers, _ = await (await harness.client()).exchange(request(request_id="late"))
         assert (status, headers["connection"]) == (503, "close")
-        for client, item in zip(busy, seen, strict=True):
+        for client, item in zip(busy, forwarded, strict=True):
             item.reply()
             assert (await client.response())[0] == 200
         assert (await (await harness.client()).exchange(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
@@ -55,7 +55,7 @@
         clients = [await harness.client() for _ in range(20)]
         for number, client in enumerate(clients):
             assert (await client.exchange(request(request_id=f"r{number}")))[0] == 200
-        harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT + MS)
+        harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + MS)
         for client in clients:
             assert await client.reader.read() == b""
         assert not harness.gateway.server.open_connections
@@ -65,47 +65,47 @@
 async def test_many_useless_connections_do_not_displace_a_useful_one(sent: bytes) -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
-        harness.gateway.server.max_open = 5
-        good = await harness.client()
-        assert (await good.exchange(request()))[0] == 200
+        harness.gateway.server.max_connections = 5
+        useful = await harness.client()
+        assert (await useful.exchange(request()))[0] == 200
         useless = []
         for _ in range(40):
             useless.append(await harness.client())
             if sent:
                 assert (await useless[-1].exchange(sent))[0] in (200, 400)
-        assert (await good.exchange(request(request_id="r2")))[0] == 200
+        assert (await useful.exchange(request(request_id="r2")))[0] == 200
         for client in useless[:-4]:
             assert await client.reader.read() == b""
         assert harness.gateway.server.open_connections <= 5
 
 
-async def test_a_connection_whose_first_request_stalls_makes_way() -> None:
-    """Incomplete requests took all connection slots: 148 of 174 requests of other clients failed."""
+async def test_a_connection_whose_first_request_stalls_is_evicted() -> None:
+    """Guards against incomplete requests taking all slots: 148 of 174 requests of other clients failed."""
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
-        harness.gateway.server.max_open = 3
-        good = await harness.client()
-        assert (await good.exchange(request()))[0] == 200
+        harness.gateway.server.max_connections = 3
+        useful = await harness.client()
+        assert (await useful.exchange(request()))[0] == 200
         incomplete = [await harness.client() for _ in range(2)]
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
-            await wait_until(lambda seen=number + 1: harness.gateway.server.reading_connections == seen)  # type: ignore[misc]
-        age_connections(harness, FIRST_REQUEST_TIMEOUT + MS)
+            await wait_until(lambda count=number + 1: harness.gateway.server.busy_connections == count)  # type: ignore[misc]
+        shift_wait_start(harness, FIRST_REQUEST_TIMEOUT_NS + MS)
         assert (await (await harness.client()).exchange(request(request_id="late")))[0] == 200
         assert await incomplete[0].reader.read() == b""
-        assert (await good.exchange(request(request_id="r2")))[0] == 200  # it is idle, but has been of use
+        assert (await useful.exchange(request(request_id="r2")))[0] == 200  # idle, but kept as useful
         assert (await incomplete[1].exchange(b"\r\n"))[0] == 200
 
 
-async def test_a_connection_whose_first_request_has_just_begun_stays() -> None:
+async def test_a_connection_whose_first_request_has_just_begun_is_not_evicted() -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
-        harness.gateway.server.max_open = 2
+        harness.gateway.server.max_connections = 2
         incomplete = [await harness.client() for _ in range(2)]
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
-        await wait_until(lambda: harness.gateway.server.reading_connections == 2)
-        age_connections(harness, -SLOW_CLIENT_TIMEOUT)  # on a slow machine they might be old by now
+        await wait_until(lambda: harness.gateway.server.busy_connections == 2)
+        shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # a slow machine may have used up the timeout
         assert (await (await harness.client()).exchange(request(request_id="late")))[0] == 503
         for client in incomplete:
             assert (await client.exchange(b"\r\n"))[0] == 200
@@ -114,7 +114,7 @@
 async def test_responses_close_their_connections_when_half_the_slots_are_taken() -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
-        harness.gateway.server.max_open = 4
+        harness.gateway.server.max_connections = 4
         first, second = await harness.client(), await harness.client()
         assert "connection" not in (await first.exchange(request()))[1]
         third = await harness.client()
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -1,4 +1,4 @@
-"""A request whose client closes while the request waits is not forwarded, whatever it waits for."""
+"""A waiting request is not forwarded once its client has closed, whatever the request waits for."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 SHORT_OBJECTIVES: dict[str, Any] = {
     "request-classes": [{**item, "slo-ns": 2000 * MS} for item in SETTINGS["request-classes"]]
 }
-"""Classes with a latency objective so short that the first gap before a retry is 1.5 s."""
+"""Request classes whose latency objective makes the first gap before a retry 1.5 s."""
 
 
 def close(client: Client) -> None:
@@ -48,39 +48,39 @@
     client.writer.transport.abort()
 
 
-each_departure = pytest.mark.parametrize("leave", [close, half_close, reset])
-Leave = Callable[[Client], None]
+each_close = pytest.mark.parametrize("close_client", [close, half_close, reset])
+CloseClient = Callable[[Client], None]
 
 
-async def only_the_other_is_sent(harness: GatewayHarness, endpoint: FakeEndpoint) -> None:
-    """A request that comes later is served, and is the next to reach the endpoint."""
+async def check_only_other_request_is_sent(harness: GatewayHarness, endpoint: FakeEndpoint) -> None:
+    """Send another request and check that it is the next one to reach the endpoint, and the only one."""
     other = await harness.client()
     assert (await other.exchange(request(request_id="other")))[0] == 200
     assert (await endpoint.received.get()).headers["x-request-id"] == "other"
     assert endpoint.received.empty()
 
 
-@each_departure
-async def test_a_request_that_waited_for_capacity_is_not_sent(leave: Leave) -> None:
+@each_close
+async def test_a_request_that_waited_for_capacity_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint)
-        busy, leaver = await harness.client(), await harness.client()
+        busy, closing_client = await harness.client(), await harness.client()
         busy.send(request(request_id="busy"))
-        seen = await endpoint.received.get()
-        leaver.send(request(request_id="left"))  # an endpoint that was never used gets one at a time
+        forwarded = await endpoint.received.get()
+        closing_client.send(request(request_id="left"))  # an unused endpoint gets one attempt at a time
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 2)
         assert endpoint.received.empty()
-        leave(leaver)
+        close_client(closing_client)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
         endpoint.reply = OK
-        seen.reply(LAST)
+        forwarded.reply(LAST)
         assert (await busy.response())[0] == 200
-        await only_the_other_is_sent(harness, endpoint)
+        await check_only_other_request_is_sent(harness, endpoint)
 
 
-@each_departure
-async def test_a_request_that_waited_for_its_gap_is_not_sent(leave: Leave) -> None:
+@each_close
+async def test_a_request_that_waited_for_its_gap_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoints = FakeEndpoint("h0", reply=None), FakeEndpoint("h1", reply=None)
         await harness.begin(*endpoints, **SHORT_OBJECTIVES)
@@ -91,20 +91,20 @@
         first, other = endpoints if not endpoints[0].received.empty() else endpoints[::-1]
         (await first.received.get()).reply(OVERLOADED)
         await wait_until(lambda: not dispatcher.open_requests()[0].in_flight)
-        leave(client)
+        close_client(client)
         await wait_until(lambda: not dispatcher.open_requests())
         has_expired = asyncio.Event()
         timers.call_after(
             2000 * MS, lambda _: has_expired.set(), None
-        )  # behind the gap in the one heap of timers
+        )  # expires after the gap, as all timers share one heap
         await has_expired.wait()
         assert first.received.empty()
         assert other.received.empty()
 
 
-@each_departure
+@each_close
 async def test_a_request_that_waited_for_its_connection_is_not_sent(
-    leave: Leave, monkeypatch: pytest.MonkeyPatch
+    close_client: CloseClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
@@ -113,12 +113,12 @@
         client = await harness.client()
         client.send(request(request_id="left"))
         await connects.was_called.wait()
-        leave(client)
-        if leave is half_close:  # the client may still read, and gets a response
+        close_client(client)
+        if close_client is half_close:  # the client may still read, so it gets a response
             assert (await client.response())[0] == 502
         await wait_until(lambda: not harness.gateway.dispatcher.open_requests())
         connects.may_begin.set()
-        await only_the_other_is_sent(harness, endpoint)
+        await check_only_other_request_is_sent(harness, endpoint)
 
 
 async def test_a_half_closed_client_gets_the_response_to_an_attempt_that_was_sent() -> None:
@@ -127,63 +127,63 @@
         await harness.begin(endpoint)
         client = await harness.client()
         client.send(request())
-        seen = await endpoint.received.get()
+        forwarded = await endpoint.received.get()
         client.writer.write_eof()
         await wait_until(lambda: harness.gateway.dispatcher.open_requests()[0].client_closing)
-        seen.reply()
+        forwarded.reply()
         assert (await client.response())[::2] == (200, b"done")
 
 
 class SendsAtTimer(Stub):
-    """Sends the first attempt of a request when its timer expires, and another at each outcome."""
+    """Sends the first attempt when the request's timer expires, then one after each non-final outcome."""
 
     def act(self, request_id: int) -> None:
         self.actions.set_timer(request_id, 60_000 * MS)
 
-    def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - the gateway's
+    def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - interface
         self.actions.send_attempt(token, "h0", 0)
 
-    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
+    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - interface
         if not result.is_final:
             self.actions.send_attempt(result.request_id, "h0", 0)
 
 
-each_unread_departure = pytest.mark.parametrize(
-    "leave", [BlockingClient.close, BlockingClient.half_close, BlockingClient.reset]
+each_unread_close = pytest.mark.parametrize(
+    "close_client", [BlockingClient.close, BlockingClient.half_close, BlockingClient.reset]
 )
-"""The client closes in a turn of the loop in which something else is handled first."""
+"""The client closes in the same event loop turn as another event, which is handled first."""
 read_or_paused = pytest.mark.parametrize("count", [1, MAX_PIPELINED])
-"""With one request open the connection is read, with so many reading is paused."""
-LeaveUnread = Callable[[BlockingClient], None]
+"""With one open request the connection is being read; with `MAX_PIPELINED` reading is paused."""
+CloseBlockingClient = Callable[[BlockingClient], None]
 
 
 async def send_requests(harness: GatewayHarness, count: int) -> tuple[BlockingClient, list[int]]:
-    """A client with so many open requests, and the gateway's numbers of these."""
+    """A client with `count` open requests, and the request ids that the gateway gave them."""
     client = BlockingClient(harness.where)
     client.sock.sendall(b"".join(request(request_id=f"left{n}") for n in range(count)))
     await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == count)
     return client, [item.request_id for item in harness.gateway.dispatcher.open_requests()]
 
 
-def move_clock(patch: pytest.MonkeyPatch) -> None:
-    """The loop stalls for a time."""
+def simulate_stall(patch: pytest.MonkeyPatch) -> None:
+    """Advance the dispatcher's clock, as an event loop stall would."""
     patch.setattr("gateway.dispatcher.now_ns", lambda: now_ns() + 150 * MS)
 
 
 @read_or_paused
-@each_unread_departure
+@each_unread_close
 async def test_a_timer_that_expires_before_the_close_is_read_sends_nothing(
-    leave: LeaveUnread, count: int, monkeypatch: pytest.MonkeyPatch
+    close_client: CloseBlockingClient, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The balancer ends gaps and waits for capacity: it sends as a timer expires or another event comes."""
+    """The balancer sends an attempt on a timer or another event, which may be handled before the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint, make=SendsAtTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
-        leave(client)
-        move_clock(monkeypatch)
+        close_client(client)
+        simulate_stall(monkeypatch)
         for request_id in request_ids:
             timers.expire(request_id)
         assert not dispatcher.open_requests()
@@ -192,9 +192,9 @@
 
 
 @read_or_paused
-@each_unread_departure
+@each_unread_close
 async def test_a_response_that_comes_before_the_close_is_read_sends_nothing(
-    leave: LeaveUnread, count: int, monkeypatch: pytest.MonkeyPatch
+    close_client: CloseBlockingClient, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
@@ -207,8 +207,8 @@
         for _ in request_ids:
             await endpoint.received.get()
         opened = harness.gateway.upstream.connections_opened
-        leave(client)
-        move_clock(monkeypatch)
+        close_client(client)
+        simulate_stall(monkeypatch)
         for item in dispatcher.open_requests():
             [connection] = [attempt.connection for attempt in item.in_flight.values()]
             assert connection is not None
@@ -220,9 +220,9 @@
 
 
 @read_or_paused
-@each_unread_departure
+@each_unread_close
 async def test_a_connection_that_comes_up_before_the_close_is_read_sends_nothing(
-    leave: LeaveUnread, count: int, monkeypatch: pytest.MonkeyPatch
+    close_client: CloseBlockingClient, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
@@ -236,8 +236,8 @@
         for request_id in request_ids:
             timers.expire(request_id)
         connected = [await connects.connected.get() for _ in request_ids]
-        leave(client)
-        move_clock(monkeypatch)
+        close_client(client)
+        simulate_stall(monkeypatch)
         for protocol, transport in connected:
             connects.report(protocol, transport)
         assert not dispatcher.open_requests()
@@ -245,11 +245,11 @@
         client.sock.close()
 
 
-@pytest.mark.parametrize("leave", [close, half_close])
+@pytest.mark.parametrize("close_client", [close, half_close])
 async def test_a_connection_that_comes_up_soon_after_the_close_is_not_used(
-    leave: Leave, monkeypatch: pytest.MonkeyPatch
+    close_client: CloseClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """0.17 s after it three of four requests were forwarded."""
+    """Guards against late forwarding: 0.17 s after the close three of four requests were still sent."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
@@ -258,9 +258,9 @@
         client = await harness.client()
         client.send(request(request_id="left"))
         connected = await connects.connected.get()
-        leave(client)
+        close_client(client)
         await wait_until(lambda: all(item.client_closing for item in dispatcher.open_requests()))
-        move_clock(monkeypatch)
+        simulate_stall(monkeypatch)
         connects.report(*connected)
         assert not dispatcher.open_requests()
         assert connected[1].is_closing()
@@ -270,7 +270,7 @@
 async def test_a_close_is_distinguished_from_unread_bytes(
     rdhup: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also on a system that does not report POLLRDHUP, and the bytes stay to be read."""
+    """Also on a system without POLLRDHUP; polling the socket must not consume the unread bytes."""
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
@@ -283,7 +283,7 @@
         client.sock.sendall(request(request_id="more"))
         assert not connection.client_has_ended()
         timers.expire(request_ids[0])
-        await wait_until(  # the request behind them is read, complete
+        await wait_until(  # the request behind the open ones is read completely
             lambda: any(item.request_id not in request_ids for item in dispatcher.open_requests())
         )
         client.half_close()
@@ -291,17 +291,17 @@
         client.close()
 
 
-@each_unread_departure
+@each_unread_close
 @pytest.mark.parametrize("more", [b"", request(request_id="more")], ids=["alone", "after-bytes"])
 async def test_a_sweep_notices_a_close_on_a_connection_that_is_not_read(
-    leave: LeaveUnread, more: bytes
+    close_client: CloseBlockingClient, more: bytes
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint, make=SendsAtTimer)
         client, _ = await send_requests(harness, MAX_PIPELINED)
         client.sock.sendall(more)
-        leave(client)
+        close_client(client)
         harness.gateway.server.sweep(now_ns())
         assert not harness.gateway.dispatcher.open_requests()
         client.sock.close()
@@ -309,8 +309,8 @@
         assert endpoint.received.empty()
 
 
-@each_unread_departure
-async def test_a_sweep_notices_a_close_behind_discarded_bytes(leave: LeaveUnread) -> None:
+@each_unread_close
+async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint(), make=SendsAtTimer)
         client = BlockingClient(harness.where)
@@ -319,34 +319,34 @@
         client.sock.sendall(b"more")
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: connection.reading.is_paused)
-        leave(client)
+        close_client(client)
         harness.gateway.server.sweep(now_ns())
         assert not harness.gateway.dispatcher.open_requests()
         client.sock.close()
 
 
-@pytest.mark.parametrize("leave", [BlockingClient.close, BlockingClient.half_close])
+@pytest.mark.parametrize("close_client", [BlockingClient.close, BlockingClient.half_close])
 async def test_a_request_that_stayed_unread_until_its_client_closed_is_not_sent(
-    leave: LeaveUnread,
+    close_client: CloseBlockingClient,
 ) -> None:
-    """Not with a reset: that discards what is unread."""
+    """The client may have left long ago.  A reset is not tested, as it discards unread data."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint, make=Sends)
         client = BlockingClient(harness.where)
-        flood = MAX_PIPELINED + 2  # invalid requests, after which nothing is read until a sweep
+        flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: connection.reading.is_paused)
         received = b""
-        while received.count(b"no usable id\n") < flood:  # with bytes unread, its close would be a reset
+        while received.count(b"no usable id\n") < flood:  # a close with unread data would send a reset
             received += client.sock.recv(10_000)
         client.sock.sendall(request(request_id="left"))
-        leave(client)
+        close_client(client)
         harness.gateway.server.sweep(now_ns())
         await wait_until(lambda: connection not in harness.gateway.server.connections)
-        if leave is BlockingClient.half_close:
+        if close_client is BlockingClient.half_close:
             assert client.sock.makefile("rb").read().count(b"HTTP/1.1 503 ") == 1
-        await only_the_other_is_sent(harness, endpoint)
+        await check_only_other_request_is_sent(harness, endpoint)
         client.sock.close()
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -1,4 +1,4 @@
-"""Framing of requests: ambiguous lengths, trailers, upgrades and `Expect`."""
+"""Request framing: ambiguous lengths, trailers, upgrades and `Expect`."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
         assert (await client.exchange(message[-9:]))[0] == 200
 
 
-async def test_trailers_are_no_headers() -> None:
+async def test_trailers_are_not_taken_for_headers() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
         data = request("once", drop="Content-Length", Transfer_Encoding="chunked")
         data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
         assert (await (await harness.client()).exchange(data))[0] == 200
-        seen = await endpoint.received.get()
-        assert (seen.headers["x-request-id"], seen.headers.get("x-late"), seen.body) == (
+        forwarded = await endpoint.received.get()
+        assert (forwarded.headers["x-request-id"], forwarded.headers.get("x-late"), forwarded.body) == (
             "r1",
             None,
             b"some body",
@@ -100,4 +100,4 @@
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: connection.reading.is_paused)
         connection.sweep(now_ns() + 2 * SECOND)
-        await wait_until(lambda: not harness.gateway.server.open_connections)  # nor does it stay open
+        await wait_until(lambda: not harness.gateway.server.open_connections)  # not kept open by the pause
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -1,4 +1,4 @@
-"""Several requests on one connection: order of responses, limits, and the pacing of errors."""
+"""Pipelined requests on one connection: response order, limits, and pacing of error responses."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         await harness.begin(endpoint, make=Sends)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(3)))
-        seen = [await endpoint.received.get() for _ in range(3)]
-        for item in reversed(seen):
+        forwarded = [await endpoint.received.get() for _ in range(3)]
+        for item in reversed(forwarded):
             request_id = item.headers["x-request-id"].encode()
             item.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request_id)
         assert [(await client.response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
@@ -41,9 +41,9 @@
         await harness.begin(endpoint, make=Sends)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(100)))
-        seen = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
+        forwarded = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
         assert len(harness.gateway.dispatcher.open_requests()) == MAX_PIPELINED
-        for item in seen:
+        for item in forwarded:
             item.reply()
         assert [(await client.response())[0] for _ in range(100)] == [200] * 8 + [503] * 92
         assert endpoint.received.empty()
@@ -59,7 +59,7 @@
         assert (await client.exchange(invalid))[0] == 400
         client.send(invalid)
         waiting = asyncio.ensure_future(client.response())
-        for _ in range(3):  # one error for each sweep and one at once, however fast they come
+        for _ in range(3):  # one immediate error and one per sweep, at any request rate
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.shield(waiting), 0.02)
             harness.gateway.server.sweep(now_ns())
@@ -74,7 +74,7 @@
 async def test_errors_that_wait_for_a_sweep_delay_no_valid_request(
     errors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is read and forwarded at once, and its response waits for no sweep."""
+    """A valid request is read and forwarded at once, and its response does not wait for a sweep."""
     monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
@@ -85,13 +85,13 @@
             client.send(request(request_id=""))
         await wait_until(lambda: len(harness.gateway.server.connections) == 1)
         [connection] = harness.gateway.server.connections
-        await wait_until(lambda: len(connection.queue) == errors - 1)  # the first has its response
+        await wait_until(lambda: len(connection.queue) == errors - 1)  # the first one has been answered
         client.send(request(request_id="good"))
         assert [(await client.response())[0] for _ in range(errors + 1)] == [400] * errors + [200]
 
 
 async def test_a_flood_of_invalid_requests_is_read_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All that was read gets a response, and the number of open requests stays bounded."""
+    """Every request that was read gets a response, and the number of open requests stays bounded."""
     monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
@@ -112,7 +112,7 @@
 
 
 async def test_an_upgrade_whose_error_waits_for_a_sweep_gets_its_response() -> None:
-    """The sending was ended before the error was written, and every sweep of the gateway failed at it."""
+    """Guards against sending EOF before the deferred error is written, which made every sweep fail."""
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
         client = await harness.client()
@@ -123,14 +123,14 @@
 
 
 async def test_an_upgrade_behind_an_open_request_gets_its_response_after_that() -> None:
-    """The sending was ended while the request before it was open, whose response could not be written."""
+    """Guards against sending EOF while an earlier request is open, whose response was then lost."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint, make=Sends)
         client = await harness.client()
         client.send(request(request_id="open") + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
         received = await endpoint.received.get()
-        await wait_until(lambda: harness.gateway.server.reading_connections == 1)
+        await wait_until(lambda: harness.gateway.server.busy_connections == 1)
         received.reply()
         assert [(await client.response())[0] for _ in range(2)] == [200, 400]
         assert await client.reader.read() == b""
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -1,4 +1,4 @@
-"""Readiness of the client side, and its graceful shutdown."""
+"""Readiness and graceful shutdown of the client side."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
         await harness.begin(endpoint, make=Sends)
         client = await harness.client()
         client.send(request(request_id="r0") + request(request_id="r1"))
-        seen = [await endpoint.received.get() for _ in range(2)]
+        forwarded = [await endpoint.received.get() for _ in range(2)]
         harness.gateway.stop()
         await wait_until(lambda: harness.gateway.server.draining, lambda: asyncio.sleep(0.01))
-        seen.sort(key=lambda item: item.headers["x-request-id"])
-        for advice, item in zip((None, "close"), seen, strict=True):
+        forwarded.sort(key=lambda item: item.headers["x-request-id"])
+        for connection_header, item in zip((None, "close"), forwarded, strict=True):
             item.reply()
             status, headers, _ = await client.response()
-            assert (status, headers.get("connection")) == (200, advice)
+            assert (status, headers.get("connection")) == (200, connection_header)
         assert await client.reader.read() == b""
 
 
 async def test_a_sweep_that_fails_is_followed_by_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One fault at one connection ended all sweeps: nothing idle, slow or silent was closed any more."""
+    """Guards against one exception ending all sweeps, after which no idle or slow connection was closed."""
     monkeypatch.setattr("gateway.gateway.SWEEP", MS)
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -1,4 +1,4 @@
-"""Requests of clients: what is forwarded, and what is invalid and gets an error."""
+"""Request validation: valid requests are forwarded, invalid ones get an error response."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
         assert (await (await harness.client()).exchange(KEYED_REQUEST))[::2] == (200, b"done")
-        seen = await endpoint.received.get()
-        assert (seen.first, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
+        forwarded = await endpoint.received.get()
+        assert (forwarded.first, forwarded.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
         assert {
-            name: seen.headers.get(name)
+            name: forwarded.headers.get(name)
             for name in ("x-request-id", "idempotency-key", "content-type", "x-hop", "connection")
         } == {
             "x-request-id": "r1",
@@ -27,7 +27,7 @@
             "x-hop": None,
             "connection": None,
         }
-        assert 0 < int(seen.headers["x-timeout-ms"]) < 6000
+        assert 0 < int(forwarded.headers["x-timeout-ms"]) < 6000
 
 
 @pytest.mark.parametrize(
@@ -92,8 +92,8 @@
 
 @pytest.mark.parametrize("before", [b"", b" ", b"\t  "])
 @pytest.mark.parametrize("after", [b"", b" ", b" \t"])
-async def test_white_space_around_a_value_is_no_part_of_it(before: bytes, after: bytes) -> None:
-    """It is allowed around every value, and a tenant with a space after it was taken for another one."""
+async def test_white_space_around_a_header_value_is_ignored(before: bytes, after: bytes) -> None:
+    """It is allowed around every header value; a tenant name followed by a space was taken for another one."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
@@ -106,10 +106,10 @@
         ]
         client.send(b"\r\n".join([line, *spaced]) + b"\r\n\r\n" + body)
         assert (await client.response())[0] == 200
-        seen = await endpoint.received.get()
-        assert (seen.headers["x-request-id"], seen.headers["idempotency-key"]) == ("r1", "kr1")
-        assert seen.body == b"some body"
-        assert "x-hop" not in seen.headers
+        forwarded = await endpoint.received.get()
+        assert (forwarded.headers["x-request-id"], forwarded.headers["idempotency-key"]) == ("r1", "kr1")
+        assert forwarded.body == b"some body"
+        assert "x-hop" not in forwarded.headers
 
 
 async def test_the_id_of_an_open_request_is_not_accepted_again() -> None:
@@ -118,12 +118,12 @@
         await harness.begin(endpoint)
         first, second = await harness.client(), await harness.client()
         first.send(request())
-        seen = await endpoint.received.get()
+        forwarded = await endpoint.received.get()
         assert (await second.exchange(request()))[0] == 400
-        seen.reply()
+        forwarded.reply()
         assert (await first.response())[0] == 200
-        age_idle_connections(harness.gateway.upstream)  # its connection to the endpoint is used again
+        age_idle_connections(harness.gateway.upstream)  # allows the endpoint connection to be reused
         second.send(request())
-        assert (await seen.reader.readline()).startswith(
+        assert (await forwarded.reader.readline()).startswith(
             b"GET "
-        )  # the id may come again once its request is over
+        )  # the id may be reused once its request has ended
--- a/tests/gateway/test_connection_state.py
+++ b/tests/gateway/test_connection_state.py
@@ -1,4 +1,4 @@
-"""The table of states of a client's connection."""
+"""Transition table of the client connection state machine."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from gateway.client.connection_state import TRANSITIONS, ConnectionEvent, ConnectionLifecycle, ConnectionState
 
 
-def after(*events: ConnectionEvent) -> ConnectionLifecycle:
-    """A connection on which these events have come."""
+def lifecycle_after(*events: ConnectionEvent) -> ConnectionLifecycle:
+    """The lifecycle of a connection after these events."""
     lifecycle = ConnectionLifecycle()
     for event in events:
         lifecycle.handle(event)
@@ -30,8 +30,8 @@
         ([ConnectionEvent.LOST], ConnectionState.CLOSED),
     ],
 )
-def test_the_state_says_which_side_has_ended(events: list[ConnectionEvent], state: ConnectionState) -> None:
-    lifecycle = after(*events)
+def test_the_state_tells_which_side_has_closed(events: list[ConnectionEvent], state: ConnectionState) -> None:
+    lifecycle = lifecycle_after(*events)
     assert lifecycle.state is state
     assert lifecycle.is_open == (not events)
     assert lifecycle.client_has_ended == (ConnectionEvent.CLIENT_ENDED in events)
