--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -36,7 +36,7 @@
         self.number = server.next_connection_number()
         """Connection number used in the log."""
         self.waiting_since_ns = now_ns()
-        """Start of the current wait, ns: for a request, for the client to read, or for the client to close."""
+        """Start of the current wait, ns: for a request, for the client to read, or for its close."""
         self.has_sent_valid_request = False
         """Whether at least one request has passed all checks."""
         self.is_over_limit = False
--- a/gateway/client/listener.py
+++ b/gateway/client/listener.py
@@ -43,8 +43,8 @@
         errno.EOPNOTSUPP,
     )
 )
-"""Errors of accept(2) that concern one connection only: the next one may be accepted.  After other errors,
-such as a lack of descriptors or memory, the connection is still pending and the same call would fail again."""
+"""Errors of accept(2) that concern one connection only: the next one may succeed.  After other errors,
+such as a lack of descriptors or memory, the connection stays pending and the same call would fail again."""
 
 
 class Listener:
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -105,7 +105,7 @@
         self._check_head_limits(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header.  Trailers count towards the limits but are dropped: one could set an id or length."""
+        """Store a header.  Trailers are counted but dropped: one could set another id or length."""
         self._check_head_limits(len(name) + len(value or b"") + 4)
         if self.error is None and self._in_head:
             self._headers.append((name, field_value(value)))
--- a/gateway/client/validation.py
+++ b/gateway/client/validation.py
@@ -119,7 +119,7 @@
 
 
 def _parse_routing_key(text: bytes) -> int:
-    """The routing key as a number: the low 64 bits of a hexadecimal value, else a hash; 0 if it is missing."""
+    """The routing key as a number: the low 64 bits of a hexadecimal value, else a hash; 0 if missing."""
     if not text:
         return 0
     try:
