--- a/gateway/upstream/__init__.py
+++ b/gateway/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""The endpoint side of the gateway: connections, attempts and their outcomes."""
+"""Upstream side of the gateway: connections to endpoints, attempts and their outcomes."""
 
 from .attempt import Attempt
 from .upstream import Upstream
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a request, or of a health check, to one endpoint."""
+"""One attempt to send a request or a health check to an endpoint."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Attempt:
-    """An attempt; it has a connection to itself until it ends.
+    """An attempt in flight, with exclusive use of its connection until it ends.
 
-    `on_ended` is called once, with the response where the outcome is OK.  `may_start` is called when a
-    connection opened for the attempt is up; the attempt is not sent where it returns False.
+    `on_ended` is called exactly once, and gets the response only if the outcome is OK.  `may_start` is called
+    when a connection opened for this attempt is established; if it returns False, the attempt is not sent.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         on_ended: Callable[[Attempt, Outcome, Response | None], None],
         may_start: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`number` counts the attempts of a request from 0; times are monotonic ns."""
+        """`number` is the index of the attempt within its request, from 0; times are monotonic ns."""
         self.endpoint_id = endpoint_id
         self.number = number
         self.payload = payload
@@ -55,19 +55,18 @@
         self.may_start = may_start
         self.connection: EndpointConnection | None = None
         self.is_over = False
-        self.load_report = b""  # as the endpoint sent it; empty for none
+        self.load_report = b""  # unparsed, as received from the endpoint; empty if it sent none
 
-    def message(self, now: int) -> bytes:
-        """The request for the wire, with the time that the gateway waits from now."""
+    def serialize(self, now_ns: int) -> bytes:
+        """The serialized request; its X-Timeout-Ms is the time left until the deadline."""
         head, body = self.payload
-        return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.deadline_ns - now) // MS), body)
+        return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.deadline_ns - now_ns) // MS), body)
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome; once, later calls do nothing."""
+        """End the attempt and report its outcome; calls after the first have no effect."""
         if not self.is_over:
             self.is_over = True
             self.connection = None
-            self.payload = (
-                NO_PAYLOAD  # timers refer to the attempt until they expire: bodies must not pile up
-            )
+            # The deadline timer holds the attempt until it expires; the body must not stay in memory so long.
+            self.payload = NO_PAYLOAD
             self.on_ended(self, outcome, response)
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -1,7 +1,7 @@
-"""One connection to an endpoint.
+"""A connection to an endpoint.
 
-The outcome of an attempt whose connection breaks follows from one question: was the last byte of the request
-written to the socket?  Before that the request can't have run, after that it may have.
+If a connection is lost, the outcome of its attempt depends on whether the last byte of the request was
+written to the socket.  Before that the endpoint can't have executed the request, afterwards it may have.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ..sockets import poll_socket, shut_down
 from ..timers import now_ns
 from .attempt import Attempt
-from .response_outcome import load_report_of, outcome_of
+from .response_outcome import classify_response, extract_load_report
 from .response_parser import ResponseParser
 
 if TYPE_CHECKING:
@@ -28,44 +28,44 @@
 
 
 class ConnectionState(IntEnum):
-    """Where a connection is; numbers, as those are the cheapest keys of the table below."""
+    """State of a connection; integers, because they are the fastest keys for `_TRANSITIONS`."""
 
     CONNECTING = auto()
     SENDING = auto()
-    """A part of the request may not be written to the socket yet."""
+    """The request may not be completely written to the socket yet."""
     AWAITING_RESPONSE = auto()
-    """The request is written to the socket, and its response is not complete."""
+    """The request is completely written to the socket, and the response is incomplete."""
     IDLE = auto()
-    """Open for further requests."""
+    """Open, without a request in flight."""
     CLOSED = auto()
-    """Given up; the transport may still have to close."""
+    """No longer used; the transport may not be closed yet."""
 
 
 CONNECTING, SENDING, AWAITING_RESPONSE, IDLE, CLOSED = ConnectionState
-"""For short, and as looking up a member in its class takes several times as long."""
+"""Module-level aliases: an attribute lookup on the enum class takes several times as long."""
 _TRANSITIONS: dict[ConnectionState, tuple[ConnectionState, ...]] = {
     CONNECTING: (SENDING, CLOSED),
     SENDING: (AWAITING_RESPONSE, CLOSED),
     AWAITING_RESPONSE: (IDLE, CLOSED),
     IDLE: (SENDING, CLOSED),
-    # The pool and the transport may both close a connection.
+    # Both the pool and the transport may close a connection.
     CLOSED: (CLOSED,),
 }
-"""The states that may follow each state."""
+"""Allowed next states of each state."""
 
 
 class ConnectionPool(Protocol):
-    """What a connection needs of the pool that it is in."""
+    """The interface of the connection pool that a connection uses."""
 
     def release(self, connection: EndpointConnection) -> None:
-        """Its response is complete: it is idle or closed from here on."""
+        """Return a connection whose response is complete; it becomes idle or is closed."""
 
-    def forget(self, connection: EndpointConnection) -> None:
-        """It is closed."""
+    def remove_connection(self, connection: EndpointConnection) -> None:
+        """Remove a closed connection from the pool."""
 
 
 class EndpointConnection(asyncio.Protocol):
-    """A connection; it carries one attempt at a time."""
+    """A connection to an endpoint, with at most one attempt in flight."""
 
     __slots__ = (
         "_pool",
@@ -80,11 +80,11 @@
     )
 
     def __init__(self, pool: ConnectionPool, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
-        """A connection that is to be opened for this attempt."""
+        """Create a connection that is about to be opened for `attempt`."""
         self._pool = pool
         self.endpoint = endpoint
         self.incarnation = endpoint.incarnation
-        """The endpoint's incarnation that it belongs to."""
+        """The endpoint's incarnation when the connection was created."""
         self.state = CONNECTING
         self.attempt: Attempt | None = attempt
         self.task: asyncio.Task[None] | None = None
@@ -94,33 +94,38 @@
         self._response = ResponseParser()
 
     def up(self) -> bool:
-        """Whether the connection has been opened, with which its first attempt begins."""
+        """Whether the connection was established; its first attempt is sent at that moment."""
         return self._transport is not None
 
-    def written(self) -> bool:
-        """Whether the last byte of the attempt's request is written to the socket."""
+    def is_request_written(self) -> bool:
+        """Whether the request in flight is written to the socket up to its last byte."""
         return self.state is AWAITING_RESPONSE
 
     def has_unread_input(self) -> bool:
-        """Whether something has come that the loop has not read yet: late bytes, or the endpoint's end.
+        """Whether the socket holds bytes or an end of stream that the event loop has not read yet.
 
-        On an idle connection that belongs to the last response, and must not be taken for the next one.
+        On an idle connection these belong to the previous response and must not be read as the next one.
         """
         return poll_socket(self._transport).readable
 
-    def _enter(self, state: ConnectionState) -> None:
-        """Change the state; a change that is not in the table is a fault of this program, and is ignored."""
+    def _transition_to(self, state: ConnectionState) -> None:
+        """Change the state; a transition missing in `_TRANSITIONS` is a bug: it is logged and ignored."""
         if state in _TRANSITIONS[self.state]:
             self.state = state
         else:
-            log.error("connection to %s: %s after %s", self.endpoint.address, state.name, self.state.name)
+            log.error(
+                "connection to %s: illegal transition to %s from %s",
+                self.endpoint.address,
+                state.name,
+                self.state.name,
+            )
 
     # ---- Requests ----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open: send the attempt, unless it has become obsolete meanwhile."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base
-        # With 0 the transport reports each write that the socket has not taken in full, by resume_writing.
+        """Send the attempt on the new connection, unless it has ended or expired in the meantime."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't derive from it
+        # With a high-water mark of 0, resume_writing is called whenever a buffered write is complete.
         self._transport.set_write_buffer_limits(high=0)
         attempt = self.attempt
         if (
@@ -145,38 +150,38 @@
     def _write(self, attempt: Attempt) -> None:
         transport = self._transport
         assert transport is not None
-        self._enter(SENDING)
-        transport.write(attempt.message(now_ns()))
-        # The transport writes to the socket at once; what is in its buffer now is not written.
+        self._transition_to(SENDING)
+        transport.write(attempt.serialize(now_ns()))
+        # The transport writes to the socket immediately; its buffer holds what the socket did not accept.
         if not transport.is_closing() and not transport.get_write_buffer_size():
-            self._enter(AWAITING_RESPONSE)
+            self._transition_to(AWAITING_RESPONSE)
 
     def resume_writing(self) -> None:
-        """The transport's buffer is empty: the last byte is written to the socket."""
-        if self.state is SENDING:  # else the attempt has ended meanwhile
-            self._enter(AWAITING_RESPONSE)
+        """Called when the write buffer is empty: the request is completely written to the socket."""
+        if self.state is SENDING:  # otherwise the attempt has already ended
+            self._transition_to(AWAITING_RESPONSE)
 
     # ---- Responses ---------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come; without a request in flight they belong to no response: close."""
+        """Parse received bytes; if no request is in flight, close the connection."""
         if self.attempt is None:
-            log.warning("unexpected bytes from %s", self.endpoint.address)
+            log.warning("unexpected data from %s without a request in flight", self.endpoint.address)
             self.close()
             return
         self._response.feed(data)
         self._process_response()
 
     def eof_received(self) -> None:
-        """The endpoint has ended its sending in order, with which a response without a length is complete.
+        """Handle the end of the stream, which completes a response without a length.
 
-        The transport closes after this and calls connection_lost.  A reset does not come here.
+        The transport then closes and calls connection_lost.  After a reset this method is not called.
         """
-        if self._response.feed_end():
+        if self._response.feed_eof():
             self._process_response()
 
     def _process_response(self) -> None:
-        """End the attempt where its response is complete or invalid."""
+        """End the attempt if its response is complete or invalid."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -188,11 +193,11 @@
 
     def _complete(self, attempt: Attempt) -> None:
         response = self._response.response()
-        outcome = outcome_of(response)
-        attempt.load_report = load_report_of(response)
+        outcome = classify_response(response)
+        attempt.load_report = extract_load_report(response)
         self.attempt = None
         attempt.connection = None
-        # Before the attempt ends: what its end starts finds the connection idle or closed, not in use.
+        # Done before the attempt ends, so that on_ended can already reuse the connection or its slot.
         if self._is_reusable():
             self._pool.release(self)
         else:
@@ -201,52 +206,52 @@
 
     def _is_reusable(self) -> bool:
         """Whether the connection can carry another request after this response."""
-        return self.written() and self._response.error is None and self._response.keeps_alive
+        return self.is_request_written() and self._response.error is None and self._response.keeps_alive
 
     # ---- Ends --------------------------------------------------------------------------------------
 
     def mark_idle(self, now: int) -> None:
-        """The connection is open for further requests from now on."""
-        self._enter(IDLE)
+        """Mark the connection as idle from `now`, monotonic ns."""
+        self._transition_to(IDLE)
         self.idle_since_ns = now
 
     def end_attempt(self, outcome: Outcome) -> None:
-        """End the attempt and close; buffered bytes of its request are dropped, never sent later."""
+        """End the attempt and close the connection; unsent bytes of the request are discarded."""
         attempt, self.attempt = self.attempt, None
-        # The transport closes its socket a turn of the loop later.  A retry may be written within the call
-        # of the attempt's end, and this attempt must have left its connection by then.
+        # The transport closes its socket only in the next iteration of the event loop.  attempt.end() may
+        # send a retry before that, and the connection of this attempt must be shut down by then.
         shut_down(self._transport)
         self.close()
         if attempt is not None:
             attempt.end(outcome)
 
     def close(self) -> None:
-        """Close a connection whose attempt, if any, has been ended."""
-        self._enter(CLOSED)
+        """Close the connection; its attempt, if any, must have ended."""
+        self._transition_to(CLOSED)
         self.abort()
 
     def abort(self) -> None:
-        """Close at once; an attempt in flight ends by its state, with the loss of the connection."""
+        """Close immediately; connection_lost ends the attempt in flight according to the state."""
         if self._transport is not None:
             self._transport.abort()
             return
-        self._pool.forget(self)  # no connection_lost will do it
+        self._pool.remove_connection(self)  # connection_lost is not called without a transport
         if self.task is not None:
             self.task.cancel()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio passes it
-        """The connection has ended."""
-        outcome = self._outcome_of_loss()
-        self._enter(CLOSED)
-        # Before the attempt ends: a retry may need the place of this connection.
-        self._pool.forget(self)
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio
+        """End the attempt in flight, and remove the connection from the pool."""
+        outcome = self._outcome_of_connection_loss()
+        self._transition_to(CLOSED)
+        # Done before the attempt ends: a retry may need the slot of this connection in the pool.
+        self._pool.remove_connection(self)
         self.task = None
         self._response.release()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.end(outcome)
 
-    def _outcome_of_loss(self) -> Outcome:
-        if not self.written():
+    def _outcome_of_connection_loss(self) -> Outcome:
+        if not self.is_request_written():
             return Outcome.CONNECT_FAILED
         return Outcome.INVALID_RESPONSE if self._response.has_begun else Outcome.RESET
--- a/gateway/upstream/endpoint.py
+++ b/gateway/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as discovery last described it, and the idle connections to it."""
+"""An endpoint as last listed by discovery, and the idle connections to it."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 __all__ = ["MAX_IDLE_PER_ENDPOINT", "REUSE_DELAY", "UpstreamEndpoint"]
 
 REUSE_DELAY = 10 * MS
-"""A connection is not used again before this, ns: a second response to the last request may come some
-milliseconds late, and looks like the response to the next request."""
+"""Minimum idle time before a connection is reused, ns: a second response to the previous request may arrive
+some milliseconds late, and would be taken for the response to the next request."""
 MAX_IDLE_PER_ENDPOINT = 16
 
 
 class UpstreamEndpoint:
-    """One endpoint; its incarnation changes with each restart and each change of address."""
+    """An endpoint; its incarnation is incremented by a restart, a change of address and its removal."""
 
     __slots__ = ("address", "idle", "incarnation", "is_ready", "started_ns")
 
@@ -29,43 +29,43 @@
         self.is_ready = False
         self.incarnation = 0
         self.idle: list[EndpointConnection] = []
-        """Idle connections, the one that has been idle longest first."""
+        """Idle connections in the order in which they became idle, the longest idle first."""
 
     def apply_entry(self, address: tuple[str, int], started_ns: int, state: EndpointState) -> None:
-        """Take in what discovery says; idle connections to what is no longer there are closed."""
+        """Update from an entry of the endpoint list; close idle connections that are no longer usable."""
         self.is_ready = state is EndpointState.READY
         if state is EndpointState.GONE:
             self.incarnation += 1
         elif address != self.address or (started_ns and started_ns != self.started_ns):
-            # Connections of before a restart are broken, and show it only once they are used.
+            # A restart breaks existing connections, which is only detected when they are used.
             self.incarnation += 1
             self.address, self.started_ns = address, started_ns
         if self.idle and (not self.is_ready or self.idle[0].incarnation != self.incarnation):
             self.close_idle()
 
     def accepts(self, connection: EndpointConnection) -> bool:
-        """Whether this connection may carry requests."""
+        """Whether requests may be sent on this connection."""
         return self.is_ready and connection.incarnation == self.incarnation
 
-    def take_idle(self, now: int) -> EndpointConnection | None:
-        """The newest idle connection that can be used; others that were looked at are closed."""
-        usable = bisect_right(self.idle, now - REUSE_DELAY, key=lambda connection: connection.idle_since_ns)
-        while usable:
-            usable -= 1
-            connection = self.idle.pop(usable)
+    def take_idle(self, now_ns: int) -> EndpointConnection | None:
+        """Remove and return the usable connection that became idle last; close unusable newer ones."""
+        index = bisect_right(self.idle, now_ns - REUSE_DELAY, key=lambda connection: connection.idle_since_ns)
+        while index:
+            index -= 1
+            connection = self.idle.pop(index)
             if not connection.has_unread_input():
                 return connection
             connection.close()
         return None
 
     def add_idle(self, connection: EndpointConnection) -> None:
-        """Keep a connection for further requests; above the bound the oldest one is closed."""
+        """Add an idle connection; above `MAX_IDLE_PER_ENDPOINT` the longest idle one is closed."""
         self.idle.append(connection)
         if len(self.idle) > MAX_IDLE_PER_ENDPOINT:
             self.idle.pop(0).close()
 
     def remove_idle(self, connection: EndpointConnection) -> None:
-        """Forget a connection that may be among the idle ones."""
+        """Remove a connection from the idle ones, if it is among them."""
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -75,7 +75,7 @@
             connection.close()
         self.idle.clear()
 
-    def close_expired(self, now: int, max_idle_ns: int) -> None:
-        """Close the connections that have been idle for so long."""
-        while self.idle and now - self.idle[0].idle_since_ns >= max_idle_ns:
+    def close_expired(self, now_ns: int, max_idle_ns: int) -> None:
+        """Close the connections that have been idle for `max_idle_ns` or longer."""
+        while self.idle and now_ns - self.idle[0].idle_since_ns >= max_idle_ns:
             self.idle.pop(0).close()
--- a/gateway/upstream/response_outcome.py
+++ b/gateway/upstream/response_outcome.py
@@ -1,4 +1,4 @@
-"""What the response of an endpoint means for its attempt."""
+"""Maps the response of an endpoint to the outcome of its attempt."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 from ..messages import LOAD_REPORT_HEADER, Response
 
-__all__ = ["load_report_of", "outcome_of"]
+__all__ = ["classify_response", "extract_load_report"]
 
 STATUS_OK = HTTPStatus.OK
 BAD_REQUEST_STATUSES = frozenset((HTTPStatus.BAD_REQUEST, HTTPStatus.NOT_FOUND))
-"""What is wrong with the request itself: another endpoint would say the same."""
+"""Statuses that report a fault of the request itself: another endpoint would respond the same."""
 OVERLOAD_STATUSES = frozenset((HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT))
-"""Statuses that mean overload where the endpoint adds that it has not processed the request."""
+"""Statuses that mean overload if X-Not-Processed states that the request was not processed."""
 NOT_PROCESSED_HEADER = b"x-not-processed"
 
 
-def outcome_of(response: Response) -> Outcome:
-    """The outcome by the table of the protocol; with any other response the request may have run."""
+def classify_response(response: Response) -> Outcome:
+    """The outcome that the protocol assigns to a response; after ERROR the request may have been executed."""
     if response.status == STATUS_OK:
         return Outcome.OK
     if response.status in OVERLOAD_STATUSES:
-        marks = [value for name, value in response.headers if name.lower() == NOT_PROCESSED_HEADER]
-        if marks == [b"1"]:
+        not_processed = [value for name, value in response.headers if name.lower() == NOT_PROCESSED_HEADER]
+        if not_processed == [b"1"]:
             return Outcome.OVERLOADED
     return Outcome.BAD_REQUEST if response.status in BAD_REQUEST_STATUSES else Outcome.ERROR
 
 
-def load_report_of(response: Response) -> bytes:
-    """The load report as the endpoint sent it; empty for none."""
+def extract_load_report(response: Response) -> bytes:
+    """The unparsed value of the load report header; empty if the response has none."""
     return next((value for name, value in response.headers if name.lower() == LOAD_REPORT_HEADER), b"")
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Reads the responses of an endpoint, one at a time, and notes what is wrong with them."""
+"""Parses the responses of an endpoint, one at a time, and records protocol errors."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ..messages import MAX_BODY, Header, Response, field_value
 
 __all__ = [
-    "MAX_HEAD",
+    "MAX_HEAD_BYTES",
     "BodyTooLongError",
     "ExtraResponseError",
     "HeadTooLongError",
@@ -17,57 +17,57 @@
     "UpgradeError",
 ]
 
-MAX_HEAD = 16 * 1024
-"""Longest names and values of a response's headers together, bytes."""
+MAX_HEAD_BYTES = 16 * 1024
+"""Maximum total length of the header names and values of a response."""
 FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
-"""Headers that say where a body ends; without one of them a response ends with its connection."""
+"""Headers that delimit the body; without them the body ends when the connection closes."""
 FIRST_FINAL_STATUS = 200
-"""Responses with a lower status are interim (RFC 9110, 15.2)."""
+"""Lowest status of a final response; lower ones are interim (RFC 9110, 15.2)."""
 MAX_LENGTH_DIGITS = 20
-"""Digits of Content-Length that are read: any number of so many is too large."""
+"""Number of leading digits of Content-Length that are parsed: a number of that many digits is too large."""
 
 
 class InvalidResponseError(Exception):
-    """What has come from an endpoint can't be used as a response."""
+    """The data received from an endpoint is not a usable response."""
 
 
 class MalformedResponseError(InvalidResponseError):
-    """It is not HTTP/1.1."""
+    """The response is not valid HTTP/1.1."""
 
 
 class HeadTooLongError(InvalidResponseError):
-    """The head is longer than the gateway buffers."""
+    """The response head exceeds the limit."""
 
     def __init__(self) -> None:
-        super().__init__("head too long")
+        super().__init__("response head too long")
 
 
 class BodyTooLongError(InvalidResponseError):
-    """The body is longer than the gateway buffers, or its length is not a number."""
+    """The response body exceeds the limit, or its Content-Length is not a number."""
 
     def __init__(self) -> None:
-        super().__init__("body too long")
+        super().__init__("response body too long or Content-Length not a number")
 
 
 class UpgradeError(InvalidResponseError):
-    """The endpoint has changed to another protocol."""
+    """The endpoint switched to another protocol."""
 
     def __init__(self) -> None:
-        super().__init__("upgrade")
+        super().__init__("unexpected protocol upgrade")
 
 
 class ExtraResponseError(InvalidResponseError):
-    """A second response has come where one was due."""
+    """The endpoint sent a second response to one request."""
 
     def __init__(self) -> None:
         super().__init__("more than one response")
 
 
 class ResponseParser:
-    """The response to one request, as far as it has come; `reset` begins the next one.
+    """Incremental parser of the response to one request; `reset` prepares it for the next response.
 
-    The methods called `on_...` are called by httptools from within `feed`.  They note errors in place of
-    raising them, as what they raise would be lost in httptools.  Of several errors the last one counts.
+    httptools calls the `on_...` methods during `feed`.  They store errors in `error` instead of raising them,
+    because httptools does not pass their exceptions on.  A later error replaces an earlier one.
     """
 
     __slots__ = (
@@ -89,39 +89,39 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin a response."""
+        """Prepare for the next response."""
         self._headers: list[Header] = []
         self._body = bytearray()
-        self._header_bytes = 0  # names and values
-        self._head_bytes = 0  # all that has come before the head was complete
+        self._header_bytes = 0  # total length of names and values
+        self._head_bytes = 0  # received before the head was complete
         self._is_head_complete = False
-        self._final_status = 0  # until the response is complete
+        self._final_status = 0  # set once the response is complete
         self.is_complete = False
-        """Whether a final response has come to its end."""
+        """Whether a final response is completely received."""
         self.error: InvalidResponseError | None = None
         self.has_begun = False
-        """Whether anything of it has come."""
+        """Whether any byte was received."""
         self.keeps_alive = False
-        """Whether the endpoint keeps the connection open after it."""
+        """Whether the endpoint keeps the connection open after this response."""
 
     @property
     def is_invalid(self) -> bool:
-        """Whether what has come can't be used.
+        """Whether the response can't be used.
 
-        A second response after a complete one shows that the first had ended, which can be used.  Other bytes
-        after it may belong to a body whose stated length was too short: such a response is not used.
+        If a second response follows, the first one ended where its framing says and is valid.  Any other data
+        after a response may belong to a body whose Content-Length was too small: that response is invalid.
         """
         if self.error is None:
             return False
         return not (self.is_complete and isinstance(self.error, ExtraResponseError))
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Parse received bytes."""
         self.has_begun = True
         if not self._is_head_complete:
-            # An unfinished header line is not reported, so its length would not show.
+            # httptools reports a header line only when it is complete, so raw bytes are limited as well.
             self._head_bytes += len(data)
-            if self._head_bytes > MAX_HEAD + MAX_BODY:
+            if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY:
                 self.error = HeadTooLongError()
         try:
             self._parser.feed_data(data)
@@ -130,8 +130,8 @@
         except httptools.HttpParserError as error:
             self.error = MalformedResponseError(str(error) or "malformed")
 
-    def feed_end(self) -> bool:
-        """The endpoint has ended its sending in order; returns whether that completes the response."""
+    def feed_eof(self) -> bool:
+        """Handle the end of the stream; returns whether it completes the response."""
         if not self._is_head_complete or self.is_complete or self.error is not None or self._has_framing():
             return False
         self._final_status = self._parser.get_status_code()
@@ -143,39 +143,39 @@
         return Response(self._final_status, self._headers, bytes(self._body))
 
     def release(self) -> None:
-        """Drop httptools' parser, which refers back: a cycle would wait for the garbage collector."""
+        """Break the reference cycle with httptools' parser, which only the garbage collector would free."""
         del self._parser
 
     def _has_framing(self) -> bool:
-        """Whether the head says where the body ends (RFC 9112, 6.3)."""
+        """Whether a header delimits the body (RFC 9112, 6.3)."""
         return any(name.lower() in FRAMING_HEADERS for name, _ in self._headers)
 
     # ---- Called by httptools -----------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """The first bytes of a message have come."""
+        """Called at the first byte of a message."""
         if self.is_complete:
             self.error = ExtraResponseError()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header or a trailer has come."""
+        """Called for each header and trailer field."""
         self._header_bytes += len(name) + len(value)
-        if self._header_bytes > MAX_HEAD:
+        if self._header_bytes > MAX_HEAD_BYTES:
             self.error = HeadTooLongError()
-        elif not self._is_head_complete:  # later ones are trailers, which are not passed on
+        elif not self._is_head_complete:  # otherwise a trailer, which is not forwarded
             self._headers.append((name, field_value(value)))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Called when the head is complete; checks Content-Length."""
         self._is_head_complete = True
-        if self.is_complete:  # the head is that of a second message
+        if self.is_complete:  # the head belongs to a second message
             return
         for name, value in self._headers:
-            if name.lower() == b"content-length" and not _is_acceptable_length(value):
+            if name.lower() == b"content-length" and not _is_valid_content_length(value):
                 self.error = BodyTooLongError()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body has come."""
+        """Called for each piece of the body."""
         if self.is_complete:
             return
         self._body += body
@@ -184,17 +184,17 @@
             self._body.clear()
 
     def on_message_complete(self) -> None:
-        """A message is complete."""
+        """Called at the end of each message, interim responses included."""
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             self._headers.clear()
             self._is_head_complete = False
-        elif not self.is_complete:  # the status of a second message is not that of the first
+        elif not self.is_complete:  # a second message must not change the status
             self._final_status = status
             self.is_complete = True
-            # Here and not later: httptools has forgotten it once it returns.
+            # Must be read here: httptools discards it when this callback returns.
             self.keeps_alive = self._parser.should_keep_alive()
 
 
-def _is_acceptable_length(value: bytes) -> bool:
+def _is_valid_content_length(value: bytes) -> bool:
     return value.isdigit() and int(value[:MAX_LENGTH_DIGITS]) <= MAX_BODY
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -1,4 +1,4 @@
-"""All connections to endpoints, within one bound, and the attempts that they carry."""
+"""The pool of connections to all endpoints, with a global limit, and the attempts sent on them."""
 
 from __future__ import annotations
 
@@ -18,49 +18,49 @@
 
 log = logging.getLogger("gateway.upstream")
 
-DEFAULT_CONNECT_TIMEOUT = 250 * MS
+DEFAULT_CONNECT_TIMEOUT_NS = 250 * MS
 IDLE_TIMEOUT_SHARE = 0.6
-"""Share of the endpoints' idle timeout after which the gateway closes a connection: well before they do."""
-DEFAULT_MAX_IDLE = 10 * SECOND
+"""Idle connections are closed after this share of the endpoints' idle timeout, before the endpoints do so."""
+DEFAULT_MAX_IDLE_NS = 10 * SECOND
 
 
 class Upstream:
-    """The pool of connections; it sends the attempts that it is given, and nothing by itself."""
+    """Connection pool to the endpoints; sends attempts, but never creates or repeats one."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
-        max_open: int,
+        max_connections: int,
         connect_timeout_ns: int,
-        idle_ns: int,
+        endpoint_idle_timeout_ns: int,
     ) -> None:
-        """`idle_ns`: how long endpoints keep an idle connection open; 0 in either time for a default."""
+        """`endpoint_idle_timeout_ns` is the endpoints' own idle timeout; either time may be 0 for its default."""
         self._loop = loop
         self._timers = timers
-        self._max_open = max_open
-        self._connect_timeout_ns = connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT
-        self._max_idle_ns = int(idle_ns * IDLE_TIMEOUT_SHARE) if idle_ns else DEFAULT_MAX_IDLE
+        self._max_connections = max_connections
+        self._connect_timeout_ns = connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT_NS
+        self._max_idle_ns = int(endpoint_idle_timeout_ns * IDLE_TIMEOUT_SHARE) if endpoint_idle_timeout_ns else DEFAULT_MAX_IDLE_NS
         self.endpoints: dict[EndpointId, UpstreamEndpoint] = {}
-        self._open: set[EndpointConnection] = set()
+        self._connections: set[EndpointConnection] = set()
         self.connections_opened = 0
-        """Connections that were begun since the start."""
+        """Number of connections started since the process began."""
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open or being opened."""
-        return len(self._open)
+        """Number of connections that are open or being opened."""
+        return len(self._connections)
 
     # ---- Endpoints ---------------------------------------------------------------------------------
 
     def apply_endpoint_list(self, is_snapshot: bool, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Take in a list or its changes; idle connections to what is no longer there are closed."""
-        listed = set()
+        """Apply a snapshot or a delta; close idle connections to endpoints that are gone or changed."""
+        listed_ids = set()
         for entry, address in endpoints:
-            listed.add(entry.endpoint_id)
+            listed_ids.add(entry.endpoint_id)
             self._apply_entry(entry.endpoint_id, address, entry.started_ns, entry.state)
         if is_snapshot:
-            for endpoint_id in [known for known in self.endpoints if known not in listed]:
+            for endpoint_id in [known_id for known_id in self.endpoints if known_id not in listed_ids]:
                 self._apply_entry(endpoint_id, self.endpoints[endpoint_id].address, 0, EndpointState.GONE)
 
     def _apply_entry(
@@ -74,7 +74,7 @@
     # ---- Attempts ----------------------------------------------------------------------------------
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt on the newest idle connection that can be used, or on a new one once it is open."""
+        """Send an attempt on the most recently idle usable connection, or open a new one for it."""
         endpoint = self.endpoints.get(attempt.endpoint_id)
         if endpoint is None or not endpoint.is_ready:
             attempt.end(Outcome.CONNECT_FAILED)
@@ -82,22 +82,22 @@
         idle = endpoint.take_idle(now_ns())
         if idle is not None:
             idle.send(attempt)
-        elif len(self._open) < self._max_open or self._evict():
+        elif len(self._connections) < self._max_connections or self._evict_idle():
             self._open_connection(endpoint, attempt)
         else:
-            log.warning("no connection can be opened: %d are open", len(self._open))
+            log.warning("connection limit reached: %d are open and none is idle", len(self._connections))
             attempt.end(Outcome.CONNECT_FAILED)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Stop an attempt: its connection closes, and nothing more of it is sent."""
-        self._stop(attempt, Outcome.CANCELLED)
+        """Cancel an attempt: close its connection without sending the rest of the request."""
+        self._end_attempt(attempt, Outcome.CANCELLED)
 
     def expire_attempt(self, attempt: Attempt) -> None:
-        """The attempt's deadline has passed: it timed out if its request was written, else it never ran."""
-        is_written = attempt.connection is not None and attempt.connection.written()
-        self._stop(attempt, Outcome.TIMEOUT if is_written else Outcome.CONNECT_FAILED)
+        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise CONNECT_FAILED."""
+        is_written = attempt.connection is not None and attempt.connection.is_request_written()
+        self._end_attempt(attempt, Outcome.TIMEOUT if is_written else Outcome.CONNECT_FAILED)
 
-    def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection is not None:
             attempt.connection.end_attempt(outcome)
         else:
@@ -107,7 +107,7 @@
 
     def _open_connection(self, endpoint: UpstreamEndpoint, attempt: Attempt) -> None:
         connection = attempt.connection = EndpointConnection(self, endpoint, attempt)
-        self._open.add(connection)
+        self._connections.add(connection)
         self.connections_opened += 1
         connection.task = self._loop.create_task(self._connect(connection))
         self._timers.call_after(self._connect_timeout_ns, self._expire_connect, connection)
@@ -124,41 +124,41 @@
             connection.end_attempt(Outcome.CONNECT_FAILED)
 
     def release(self, connection: EndpointConnection) -> None:
-        """A response on this connection is complete: keep it for further requests, or close it."""
+        """Return a connection whose response is complete: keep it as idle, or close it."""
         if connection.endpoint.accepts(connection):
             connection.mark_idle(now_ns())
             connection.endpoint.add_idle(connection)
         else:
             connection.close()
 
-    def forget(self, connection: EndpointConnection) -> None:
-        """A connection is closed."""
-        self._open.discard(connection)
+    def remove_connection(self, connection: EndpointConnection) -> None:
+        """Remove a closed connection."""
+        self._connections.discard(connection)
         connection.endpoint.remove_idle(connection)
 
-    def _evict(self) -> bool:
-        """Close the connection that has been idle longest; returns whether there was one."""
+    def _evict_idle(self) -> bool:
+        """Close the longest idle connection of all endpoints; returns whether there was one."""
         candidates = [endpoint for endpoint in self.endpoints.values() if endpoint.idle]
         if not candidates:
             return False
         longest_idle = min(candidates, key=lambda endpoint: endpoint.idle[0].idle_since_ns)
         connection = longest_idle.idle.pop(0)
-        self._open.discard(connection)  # its place is needed before the transport has closed
+        self._connections.discard(connection)  # frees its slot before the transport is closed
         connection.close()
         return True
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to an endpoint."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.close_idle()
 
     def sweep(self, now: int) -> None:
-        """Close what has been idle for long, clearly before the endpoints do."""
+        """Close connections that have been idle too long, before the endpoints close them; `now` in monotonic ns."""
         for endpoint in self.endpoints.values():
             endpoint.close_expired(now, self._max_idle_ns)
 
     def close(self) -> None:
-        """End all connections; the process ends."""
-        for connection in list(self._open):
+        """Close all connections immediately, when the process exits."""
+        for connection in list(self._connections):
             connection.abort()
