--- a/gateway/discovery/__init__.py
+++ b/gateway/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway's client of the discovery service, which publishes the endpoint list."""
+"""Client of the discovery service, which publishes the endpoint list."""
 
 from .call import CallState, DiscoveryCall
 from .discovery import Discovery
--- a/gateway/discovery/backoff.py
+++ b/gateway/discovery/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between failed calls of discovery: they double, and are drawn at random around their length."""
+"""Exponential backoff with jitter between failed discovery calls."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 from balancer import SECOND
 
-__all__ = ["Backoff", "with_jitter"]
+__all__ = ["Backoff", "jittered_ns"]
 
 FIRST_WAIT_S, MAX_WAIT_S = 0.25, 5.0
 MAX_GRACE_SHARE = 0.3
-"""Share of the grace for drains that a wait may take where lists are pushed: there the gateway counts as
-notified of a change at once."""
-MIN_LIMIT_S = 0.05
-"""The limit by the grace is no shorter."""
+"""Maximum wait as a share of the drain grace period.  The backoff applies only where lists are pushed, and
+there the gateway counts as notified of a change immediately."""
+MIN_MAX_WAIT_S = 0.05
+"""Lower bound for the maximum wait, however short the drain grace period is."""
 
 
-def with_jitter(wait_s: float) -> int:
-    """A wait of half to one and a half times this length, ns: gateways that failed together call apart."""
+def jittered_ns(wait_s: float) -> int:
+    """A random wait of 0.5 to 1.5 times `wait_s`, ns, so that gateways don't repeat failed calls in sync."""
     return int(wait_s * (0.5 + random.random()) * SECOND)
 
 
 class Backoff:
-    """The waits of one gateway."""
+    """Wait times between failed calls of one gateway."""
 
     def __init__(self, drain_grace_ns: int) -> None:
-        self._limit_s = min(MAX_WAIT_S, max(MIN_LIMIT_S, MAX_GRACE_SHARE * drain_grace_ns / SECOND))
+        self._max_wait_s = min(MAX_WAIT_S, max(MIN_MAX_WAIT_S, MAX_GRACE_SHARE * drain_grace_ns / SECOND))
         self._wait_s = FIRST_WAIT_S
 
-    def next_wait(self) -> int:
-        """How long to wait now, ns; the next wait is twice as long."""
-        wait = with_jitter(min(self._wait_s, self._limit_s))
+    def next_wait_ns(self) -> int:
+        """The time to wait before the next call, ns; doubles the following wait, up to the maximum."""
+        wait_ns = jittered_ns(min(self._wait_s, self._max_wait_s))
         self._wait_s = min(2 * self._wait_s, MAX_WAIT_S)
-        return wait
+        return wait_ns
 
     def reset(self) -> None:
-        """A call has worked: begin with the first wait again."""
+        """Start again with the first wait, after a successful call."""
         self._wait_s = FIRST_WAIT_S
--- a/gateway/discovery/call.py
+++ b/gateway/discovery/call.py
@@ -1,4 +1,4 @@
-"""One call of discovery: a watch, which stays open, or a fetch of the complete endpoint list."""
+"""A discovery call: a watch, which stays open, or a fetch of the complete endpoint list."""
 
 from __future__ import annotations
 
@@ -18,87 +18,87 @@
 )
 from .response_reader import ResponseReader
 
-__all__ = ["MAX_LINE", "CallOwner", "CallState", "DiscoveryCall"]
+__all__ = ["MAX_LINE_BYTES", "CallOwner", "CallState", "DiscoveryCall"]
 
 PATH = "/registry/instances"
-HEARTBEAT_INTERVAL = 2 * SECOND
-"""Discovery sends an empty line so often while nothing changes."""
-SILENCE_TIMEOUT = HEARTBEAT_INTERVAL * 3 // 2
-"""A watch that has been silent so long is given up: one heartbeat was missed, and half the time to the next
-has passed.  The gateway counts as notified of what it misses 6 s after it fell silent, and within that the
-balancer has yet to spread its next call and to wait its turn."""
-RESPONSE_TIMEOUT = 4 * SECOND
-"""Longest wait for the first bytes: calls wait their turn at a discovery that serves all gateways.  One that
-has fallen silent looks the same, and the gateway counts as notified of what it misses 6 s later: this leaves
-time for another call."""
-CONNECT_TIMEOUT = 1 * SECOND
-"""Longest wait for the connection itself."""
-PARTIAL_OBJECT_TIMEOUT = SECOND // 2
-"""An object over several lines is given up when no further line of it comes for so long: it was cut short."""
-MAX_LINE = 8 * 1024 * 1024
-"""Longest line or object over several lines, bytes."""
+HEARTBEAT_INTERVAL_NS = 2 * SECOND
+"""Interval at which discovery sends an empty line while nothing changes."""
+READ_TIMEOUT_NS = HEARTBEAT_INTERVAL_NS * 3 // 2
+"""Maximum time without data on a watch: one heartbeat was missed and half of the next interval has passed.
+The gateway counts as notified of missed changes 6 s after the last data, and in the rest of that time the
+balancer still has to delay its next call by a random time and wait for its turn at discovery."""
+RESPONSE_TIMEOUT_NS = 4 * SECOND
+"""Maximum wait for the first bytes.  Discovery serves all gateways, so a call may have to wait for its turn;
+a discovery that no longer responds looks the same.  The gateway counts as notified of missed changes 6 s
+after discovery stopped responding, so this leaves time for another call."""
+CONNECT_TIMEOUT_NS = 1 * SECOND
+"""Maximum time to establish the connection."""
+PARTIAL_OBJECT_TIMEOUT_NS = SECOND // 2
+"""Maximum time between two lines of a multi-line object; after that the object counts as truncated."""
+MAX_LINE_BYTES = 8 * 1024 * 1024
+"""Maximum length of a line or of a multi-line object."""
 
 
 class CallState(Enum):
-    """Where a call is; it passes through these in order and may skip to CLOSED."""
+    """State of a call; the states follow in this order, and CLOSED may follow any of them."""
 
     CONNECTING = auto()
     AWAITING_RESPONSE = auto()
-    """The request is sent and nothing has come."""
+    """The request is sent, and no data has been received."""
     RECEIVING = auto()
     CLOSED = auto()
 
 
 class CallOwner(Protocol):
-    """What a call needs of its owner, and the events that it reports."""
+    """The interface through which a call reads its parameters and reports events."""
 
     address: tuple[str, int]
-    """Where discovery listens."""
-    address_number: int
-    """Counts the addresses that discovery has had."""
+    """Host and port of discovery."""
+    address_version: int
+    """Incremented with each change of the address."""
     generation: int
-    """The last generation received from this address."""
+    """The last generation received from `address`; 0 if there is none."""
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> bool:
-        """An update has come, as JSON text; returns False where more lines of it are yet to come."""
+        """Handle the JSON text of an update; returns False if it is incomplete and more lines must follow."""
 
     def on_heartbeat(self) -> None:
-        """An empty line has come: nothing has changed."""
+        """Handle an empty line, which means that nothing has changed."""
 
     def on_call_ended(self, call: DiscoveryCall, error: DiscoveryCallError | None) -> None:
-        """A call is over; `error` is None for a fetch that is complete."""
+        """Handle the end of a call; `error` is None if a fetch was successful."""
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call and its connection."""
+    """A call and its connection."""
 
     def __init__(self, owner: CallOwner, is_watch: bool) -> None:
         self._owner = owner
         self.is_watch = is_watch
         self.address = owner.address
-        self.address_number = owner.address_number
+        self.address_version = owner.address_version
         self.state = CallState.CONNECTING
         self.task: asyncio.Task[None] | None = None
         """The task that opens the connection."""
         self._transport: asyncio.Transport | None = None
         self._response = ResponseReader(splits_lines=is_watch)
         self._partial_object = bytearray()
-        self._started_at = now_ns()
-        self._last_received_at = 0
+        self._started_ns = now_ns()
+        self._last_received_ns = 0
 
     @property
     def is_closed(self) -> bool:
-        """Whether the call is over."""
+        """Whether the call has ended."""
         return self.state is CallState.CLOSED
 
     @property
     def has_partial_object(self) -> bool:
-        """Whether some lines of an object have come and others have not."""
+        """Whether a multi-line object is incomplete."""
         return bool(self._partial_object)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open: send the request, unless the call was closed meanwhile."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base
+        """Send the request, unless the call was closed in the meantime."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't derive from it
         if self.is_closed:
             self._transport.abort()
             return
@@ -108,7 +108,7 @@
         self._transport.write(f"GET {PATH}{query} HTTP/1.1\r\nHost: {authority}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the response have come."""
+        """Parse received bytes and handle the lines that they complete."""
         if self.is_closed:
             return
         try:
@@ -117,21 +117,21 @@
             self._owner.on_call_ended(self, error)
             return
         self.state = CallState.RECEIVING
-        self._last_received_at = now_ns()
+        self._last_received_ns = now_ns()
         for line in self._response.take_lines():
-            if not self.is_closed:  # what the owner does with a line may close this call
-                self._receive_line(line)
-        if self._response.buffered_size + len(self._partial_object) > MAX_LINE:
+            if not self.is_closed:  # the owner may close the call while it handles a line
+                self._handle_line(line)
+        if self._response.buffered_size + len(self._partial_object) > MAX_LINE_BYTES:
             self._owner.on_call_ended(self, OversizedLineError())
         elif self._response.is_complete and not self.is_closed:
-            self._receive_end()
+            self._handle_end()
 
-    def _receive_line(self, line: bytes) -> None:
-        """A line of a watch: an object, a part of an indented one, or a heartbeat."""
+    def _handle_line(self, line: bytes) -> None:
+        """Handle a line of a watch: an object, a part of an indented object, or a heartbeat."""
         if line.strip():
             is_first = not self._partial_object
             self._partial_object += line + b"\n"
-            # Only such a line may end an object: decoding at each would cost the square of its length.
+            # Decode only if the line can end an object: decoding after each line takes quadratic time.
             may_be_complete = is_first or line.rstrip().endswith(b"}")
             if may_be_complete and self._owner.on_update(self, bytes(self._partial_object)):
                 self._partial_object.clear()
@@ -140,30 +140,30 @@
         else:
             self._owner.on_heartbeat()
 
-    def _receive_end(self) -> None:
+    def _handle_end(self) -> None:
         if self.is_watch:
             self._owner.on_call_ended(self, ResponseEndedError())
             return
-        # The update goes first: its owner takes it for a snapshot as the fetch is still open.
+        # on_update comes first: the owner recognizes a snapshot by its fetch call, which must not have ended.
         self._owner.on_update(self, self._response.buffered)
         self._owner.on_call_ended(self, None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Report the loss of the connection and release the parser."""
         self._owner.on_call_ended(self, ConnectionLostError(exc))
         self._response.release()
 
-    def is_silent(self, now: int) -> bool:
-        """Whether nothing has come for too long: the other side may have gone without closing."""
+    def has_timed_out(self, now: int) -> bool:
+        """Whether the call has timed out; a peer that is gone need not have closed the connection."""
         if self.state is CallState.CONNECTING:
-            return now - self._started_at > CONNECT_TIMEOUT
+            return now - self._started_ns > CONNECT_TIMEOUT_NS
         if self.state is CallState.AWAITING_RESPONSE:
-            return now - self._started_at > RESPONSE_TIMEOUT
-        timeout = PARTIAL_OBJECT_TIMEOUT if self._partial_object else SILENCE_TIMEOUT
-        return now - self._last_received_at > timeout
+            return now - self._started_ns > RESPONSE_TIMEOUT_NS
+        timeout_ns = PARTIAL_OBJECT_TIMEOUT_NS if self._partial_object else READ_TIMEOUT_NS
+        return now - self._last_received_ns > timeout_ns
 
     def close(self) -> None:
-        """End the call without a report to its owner."""
+        """Close the call without notifying its owner."""
         self.state = CallState.CLOSED
         if self._transport is not None:
             self._transport.abort()
--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -1,4 +1,4 @@
-"""The calls of discovery that are open, the change to another address, and the waits between calls."""
+"""Client of discovery: its open calls, changes of the address, and retries of failed calls."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from balancer import SECOND, UpdateKind
 
 from ..timers import Timers, now_ns
-from .backoff import Backoff, with_jitter
+from .backoff import Backoff, jittered_ns
 from .call import DiscoveryCall
 from .endpoint_list_parser import EndpointListParser, EndpointListUpdate, ListedEndpoint
 from .errors import (
+    CallTimeoutError,
     ConnectFailedError,
     DiscoveryCallError,
     EndpointListError,
     InvalidUpdateError,
-    SilentCallError,
 )
 
-__all__ = ["HANDOVER", "Discovery"]
+__all__ = ["FAST_RECONNECT_PERIOD_NS", "Discovery"]
 
 log = logging.getLogger("gateway.discovery")
 
-HANDOVER = 4 * SECOND
-"""So long after a change of address, failed watches of the new one are repeated without the balancer, ns."""
-HANDOVER_WAIT_S = 0.2
-"""Wait before such a repeat."""
+FAST_RECONNECT_PERIOD_NS = 4 * SECOND
+"""Time after a change of address in which failed watches are reopened here, not by the balancer."""
+FAST_RECONNECT_WAIT_S = 0.2
+"""Mean wait before a watch is reopened within `FAST_RECONNECT_PERIOD_NS`."""
 
 
 class Discovery:
-    """The client of discovery: keeps the watch open, and notifies the balancer of updates and failures.
+    """Client of discovery; keeps the watch open, and notifies the balancer of updates and failures.
 
-    Where discovery is polled, the balancer chooses when to call again.  Where lists are pushed it never
-    calls, and a watch that failed is opened again here, with backoff.
+    If discovery is polled, the balancer decides when to call again.  If lists are pushed, the balancer never
+    calls, and a failed watch is reopened here with backoff.
     """
 
     def __init__(
@@ -46,98 +46,98 @@
         address: tuple[str, int],
         parser: EndpointListParser,
         pushed: bool,
-        grace_ns: int,
+        drain_grace_ns: int,
         notify: Callable[[UpdateKind, list[ListedEndpoint]], None],
     ) -> None:
-        """`pushed`: lists are pushed, not polled; `grace_ns`: how long a draining endpoint still serves."""
+        """`pushed`: lists are pushed, not polled; `drain_grace_ns`: how long draining endpoints still serve."""
         self._loop = loop
         self._timers = timers
         self.address = address
-        self.address_number = 0
-        """One more with each change of address."""
+        self.address_version = 0
+        """Incremented with each change of the address."""
         self.generation = 0
-        """The last generation received, as the present address counts; 0 for none."""
-        self.moved_at_ns = -HANDOVER
-        """When the address last changed, monotonic time."""
+        """The last generation, cached or received, in the numbering of the current address; 0 if there is none."""
+        self.address_changed_ns = -FAST_RECONNECT_PERIOD_NS
+        """Monotonic time of the last change of address."""
         self._parser = parser
         self._is_pushed = pushed
-        self._backoff = Backoff(grace_ns)
+        self._backoff = Backoff(drain_grace_ns)
         self._notify = notify
         self.current_watch: DiscoveryCall | None = None
-        self._replacement_watch: DiscoveryCall | None = None  # of a new address, until its first update
+        self._replacement_watch: DiscoveryCall | None = None  # on a new address, until its first update
         self._fetch_call: DiscoveryCall | None = None
-        self._has_list = False  # one from discovery itself, not the cached one
+        self._has_list = False  # received from discovery; the cached list does not count
 
     def load_cached_list(self, document: Any) -> None:
-        """Take in the endpoint list that the configuration brings, decoded JSON."""
+        """Load the cached endpoint list of the configuration, given as decoded JSON."""
         try:
             self.generation, _, endpoints = self._parser.parse(document, now_ns())
         except EndpointListError as error:
-            log.warning("the cached endpoint list is invalid: %s", error)
+            log.warning("invalid cached endpoint list ignored: %s", error)
             endpoints = []
         self._notify(UpdateKind.CACHED, endpoints)
 
     # ---- Calls -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Where lists are pushed, the balancer does not open the watch: open it here."""
+        """Open the watch if lists are pushed; otherwise the balancer opens it."""
         if self._is_pushed:
             self.watch(True)
 
     def watch(self, active: bool) -> None:
-        """Open the watch if none is open, or close it: a second one would cost lines and bring nothing."""
+        """Open the watch unless it is open, or close it; a second one would cost bandwidth and bring nothing."""
         if active and self.current_watch is None and self._replacement_watch is None:
             self.current_watch = self._call(True)
         elif active:
-            self._open_replacement(self.address_number)
+            self._open_replacement(self.address_version)
         else:
             self._close(self.current_watch, self._replacement_watch)
             self.current_watch = self._replacement_watch = None
 
     def fetch(self) -> None:
-        """Get the complete list once."""
+        """Fetch the complete endpoint list once, unless a fetch is in progress."""
         if self._fetch_call is None:
             self._fetch_call = self._call(False)
 
     def move_to(self, address: tuple[str, int]) -> None:
-        """Discovery has another address: watch it at once, and the old one until the new one has responded.
+        """Switch to another address; the old watch stays open until the first update of the new one.
 
-        The new watch begins at generation 0, as another address need not count its generations like the old.
+        The new watch starts at generation 0, because generations of different addresses are not comparable.
         """
         if address == self.address and (
             self.current_watch is not None or self._replacement_watch is not None
         ):
             return
-        log.info("discovery has moved to %s:%d", *address)
-        self.address, self.moved_at_ns, self.generation = address, now_ns(), 0
-        self.address_number += 1
+        log.info("discovery address changed to %s:%d", *address)
+        self.address, self.address_changed_ns, self.generation = address, now_ns(), 0
+        self.address_version += 1
         if self._fetch_call is not None:
             self._close(self._fetch_call)
             self._fetch_call = self._call(False)
         self._close(self._replacement_watch)
         self._replacement_watch = None
-        self._open_replacement(self.address_number)
+        self._open_replacement(self.address_version)
 
     def sweep(self, now: int) -> None:
-        """Give up calls that have gone silent."""
+        """End calls that have timed out."""
         for call in (self.current_watch, self._replacement_watch, self._fetch_call):
-            if call is not None and call.is_silent(now):
-                self.on_call_ended(call, SilentCallError())
+            if call is not None and call.has_timed_out(now):
+                self.on_call_ended(call, CallTimeoutError())
 
     def close(self) -> None:
-        """End all calls; the process ends."""
+        """Close all calls, when the process exits."""
         self._close(self.current_watch, self._replacement_watch, self._fetch_call)
 
-    def _open_replacement(self, address_number: int) -> None:
-        """Watch the present address, unless that has been done or it has changed since this was planned."""
-        is_present = address_number == self.address_number
-        if is_present and self._replacement_watch is None and not self._watches_present_address():
+    def _open_replacement(self, address_version: int) -> None:
+        """Watch the current address, unless it is watched already or has changed since `address_version`."""
+        is_current = address_version == self.address_version
+        if is_current and self._replacement_watch is None and not self._watches_current_address():
             self._replacement_watch = self._call(True)
 
-    def _watches_present_address(self) -> bool:
-        """Whether the current watch is one of the present address."""
+    def _watches_current_address(self) -> bool:
+        """Whether the current watch is on the current address."""
         watch = self.current_watch
-        return watch is not None and watch.address_number == self.address_number
+        return watch is not None and watch.address_version == self.address_version
 
     @staticmethod
     def _close(*calls: DiscoveryCall | None) -> None:
@@ -161,7 +161,7 @@
     # ---- Events of the calls -----------------------------------------------------------------------
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> bool:
-        """An update has come, as JSON text; returns False where more lines of it are yet to come."""
+        """Apply the JSON text of an update; returns False if it is incomplete and more lines must follow."""
         try:
             update = self._parser.parse(json.loads(text), now_ns())
         except json.JSONDecodeError as error:
@@ -176,48 +176,50 @@
 
     def _apply_update(self, call: DiscoveryCall, update: EndpointListUpdate) -> None:
         if call is self._replacement_watch:
-            # Closed first: an update of the old address must not follow one of the new.
+            # The old watch is closed first: its updates must not be applied after those of the new address.
             self._close(self.current_watch)
             self.current_watch, self._replacement_watch = call, None
-        if call.address_number == self.address_number:
+        if call.address_version == self.address_version:
             self.generation = update.generation
         self._backoff.reset()
         self._has_list = True
         self.on_heartbeat()
         is_snapshot = update.is_snapshot or call is self._fetch_call
-        # Last: the generation is in force by the time the balancer handles the update.
+        # Done last: `generation` must be current when the balancer handles the update.
         self._notify(UpdateKind.SNAPSHOT if is_snapshot else UpdateKind.DELTA, update.endpoints)
 
     def on_heartbeat(self) -> None:
-        """The gateway is up to date with discovery, be it that nothing has changed."""
+        """Record that the gateway is up to date with discovery; called for heartbeats and updates."""
         if self._has_list:
             self._parser.start_times.mark_up_to_date(now_ns())
 
     def _reject_update(self, call: DiscoveryCall, cause: Exception) -> None:
-        """End the call: without this update a change would be lost, and the next call begins before it."""
+        """Drop an invalid update and end the call; the next call requests the lost changes again."""
         log.warning("invalid update dropped: %s", cause)
         self.on_call_ended(call, InvalidUpdateError(cause))
 
     def on_call_ended(self, call: DiscoveryCall, error: DiscoveryCallError | None) -> None:
-        """A call is over; `error` is None for a fetch that is complete.  A second report is ignored."""
+        """Handle the end of a call; `error` is None if a fetch was successful.  Ignored if already handled."""
         if call.is_closed:
             return
         call.close()
-        # Before the balancer is notified: it may open the next call from within that.
-        self._forget(call)
+        # Done before the balancer is notified, as it may open the next call while it is notified.
+        self._remove_call(call)
         if error is None:
             return
-        log.info("discovery: %s", error)
-        if call.is_watch and self._is_handing_over():
-            # Not left to the balancer: its waits may be longer than a move may take.
-            self._timers.call_after(with_jitter(HANDOVER_WAIT_S), self._open_replacement, self.address_number)
+        log.info("discovery call failed: %s", error)
+        if call.is_watch and self._is_fast_reconnect_due():
+            # Not left to the balancer: its waits may exceed the time allowed for a change of address.
+            self._timers.call_after(
+                jittered_ns(FAST_RECONNECT_WAIT_S), self._open_replacement, self.address_version
+            )
             return
         self._notify(UpdateKind.FAILED, [])
-        # A watch of an old address that is still open is not enough.
-        if self._is_pushed and not self._watches_present_address():
-            self._timers.call_after(self._backoff.next_wait(), self.watch, True)
+        # An open watch on an old address is not sufficient.
+        if self._is_pushed and not self._watches_current_address():
+            self._timers.call_after(self._backoff.next_wait_ns(), self.watch, True)
 
-    def _forget(self, call: DiscoveryCall) -> None:
+    def _remove_call(self, call: DiscoveryCall) -> None:
         if call is self._fetch_call:
             self._fetch_call = None
         elif call is self.current_watch:
@@ -225,6 +227,9 @@
         elif call is self._replacement_watch:
             self._replacement_watch = None
 
-    def _is_handing_over(self) -> bool:
-        """Whether the address has changed a short time ago and the new one has not responded yet."""
-        return not self._watches_present_address() and now_ns() - self.moved_at_ns < HANDOVER
+    def _is_fast_reconnect_due(self) -> bool:
+        """Whether the address changed recently and no watch on the new one has received an update."""
+        return (
+            not self._watches_current_address()
+            and now_ns() - self.address_changed_ns < FAST_RECONNECT_PERIOD_NS
+        )
--- a/gateway/discovery/endpoint_list_parser.py
+++ b/gateway/discovery/endpoint_list_parser.py
@@ -1,4 +1,4 @@
-"""Turns the JSON objects of discovery into entries of the endpoint list."""
+"""Parses the JSON objects of discovery into entries of the endpoint list."""
 
 from __future__ import annotations
 
@@ -22,93 +22,96 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.GONE,
 }
-"""States by the names that discovery gives them."""
+"""Endpoint states by the lifecycle names of discovery."""
 _INVALID_FIELD_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-"""What reading a field of JSON raises where it is missing, of the wrong type or out of range."""
+"""Exceptions raised when a JSON field is missing, of the wrong type or out of range."""
 
 
 class ListedEndpoint(NamedTuple):
-    """An entry of the endpoint list for the balancer, and where the endpoint listens."""
+    """An entry of the endpoint list, as the balancer uses it, and the address of the endpoint."""
 
     entry: EndpointEntry
     address: tuple[str, int]
     """IP address or host name, and port."""
 
     def with_start_time(self, started_ns: int) -> ListedEndpoint:
-        """The same endpoint with its start time, monotonic ns; 0 for one that is long past."""
+        """A copy with this start time, monotonic ns; 0 means that the start was long ago."""
         if not started_ns:
             return self
         return ListedEndpoint(self.entry._replace(started_ns=started_ns), self.address)
 
 
 class EndpointListUpdate(NamedTuple):
-    """What one object of discovery brings."""
+    """The content of one JSON object of discovery."""
 
     generation: int
     is_snapshot: bool
-    """Whether the endpoints are the complete list, not only those that have changed."""
+    """Whether `endpoints` is the complete list; otherwise it holds only the changed entries."""
     endpoints: list[ListedEndpoint]
 
 
 class EndpointListParser:
-    """Reads the objects of discovery; zones and machine types become their positions in the settings."""
+    """Parses JSON objects of discovery; maps zones and machine types to their indexes in the settings."""
 
     def __init__(self, zones: Sequence[str], machine_types: Sequence[str]) -> None:
         self._zones = {name: index for index, name in enumerate(zones)}
         self._machine_types = {name: index for index, name in enumerate(machine_types)}
         self.start_times = StartTimes()
 
-    def parse(self, document: Any, now: int) -> EndpointListUpdate:
-        """Read one decoded JSON object that came at `now`, monotonic ns.
+    def parse(self, document: Any, now_ns: int) -> EndpointListUpdate:
+        """Parse one decoded JSON object received at `now_ns`, monotonic time.
 
-        An invalid entry is logged and dropped.  Raises EndpointListError where the object itself is invalid.
+        Invalid entries are logged and dropped.  Raises EndpointListError if the object itself is invalid.
         """
         try:
-            generation, rows = int(document["generation"]), document["instances"]
+            generation, instances = int(document["generation"]), document["instances"]
             is_snapshot = document.get("reset", False)
         except _INVALID_FIELD_ERRORS as error:
             raise EndpointListError(repr(error)) from None
-        if not isinstance(rows, list) or not isinstance(is_snapshot, bool):
-            raise EndpointListError("instances or reset are of the wrong type")
-        return EndpointListUpdate(generation, is_snapshot, self._parse_rows(rows, now))
+        if not isinstance(instances, list) or not isinstance(is_snapshot, bool):
+            raise EndpointListError("the field instances or reset is of the wrong type")
+        return EndpointListUpdate(generation, is_snapshot, self._parse_instances(instances, now_ns))
 
-    def _parse_rows(self, rows: list[Any], now: int) -> list[ListedEndpoint]:
+    def _parse_instances(self, instances: list[Any], now_ns: int) -> list[ListedEndpoint]:
         endpoints: list[ListedEndpoint] = []
-        stamps_ms: list[tuple[EndpointId, int]] = []  # of endpoints that are not gone
-        for row in rows:
+        start_times_ms: list[tuple[EndpointId, int]] = []  # Unix times, without endpoints that are gone
+        for instance in instances:
             try:
-                endpoint, stamp_ms = self._parse_row(row)
+                endpoint, start_time_ms = self._parse_instance(instance)
             except _INVALID_FIELD_ERRORS as error:
-                log.warning("invalid entry dropped: %r: %.200r", error, row)
+                log.warning("invalid endpoint list entry dropped: %r: %.200r", error, instance)
                 continue
             endpoints.append(endpoint)
-            if stamp_ms and endpoint.entry.state is not EndpointState.GONE:
-                stamps_ms.append((endpoint.entry.endpoint_id, stamp_ms))
-        # Together, not one by one: the freshest stamp of an update dates the others.
-        times = self.start_times.place(stamps_ms, now)
-        started = {endpoint_id: time for (endpoint_id, _), time in zip(stamps_ms, times, strict=True)}
+            if start_time_ms and endpoint.entry.state is not EndpointState.GONE:
+                start_times_ms.append((endpoint.entry.endpoint_id, start_time_ms))
+        # All start times of an update are converted together: the latest one is the reference for the others.
+        start_times_ns = self.start_times.place(start_times_ms, now_ns)
+        started_ns = {
+            endpoint_id: start_time_ns
+            for (endpoint_id, _), start_time_ns in zip(start_times_ms, start_times_ns, strict=True)
+        }
         return [
-            endpoint.with_start_time(started.get(endpoint.entry.endpoint_id, 0)) for endpoint in endpoints
+            endpoint.with_start_time(started_ns.get(endpoint.entry.endpoint_id, 0)) for endpoint in endpoints
         ]
 
-    def _parse_row(self, row: dict[str, Any]) -> tuple[ListedEndpoint, int]:
-        """The endpoint without its start time, and the stamp of that, Unix time in ms; 0 for none.
+    def _parse_instance(self, instance: dict[str, Any]) -> tuple[ListedEndpoint, int]:
+        """The endpoint without its start time, and the start time as Unix time in ms, 0 if there is none.
 
         Raises one of `_INVALID_FIELD_ERRORS`.
         """
-        address, _, port = row["hostPort"].rpartition(":")
-        stamp_ms, weight = int(row.get("startedAtMs") or 0), float(row.get("weight", 1.0))
-        if not address or not 0 < int(port) <= MAX_PORT or not math.isfinite(weight) or stamp_ms < 0:
-            raise ValueError("a field out of range")
-        endpoint_id = row["instanceId"]
+        address, _, port = instance["hostPort"].rpartition(":")
+        start_time_ms, weight = int(instance.get("startedAtMs") or 0), float(instance.get("weight", 1.0))
+        if not address or not 0 < int(port) <= MAX_PORT or not math.isfinite(weight) or start_time_ms < 0:
+            raise ValueError("hostPort, weight or startedAtMs is out of range")
+        endpoint_id = instance["instanceId"]
         if not isinstance(endpoint_id, str) or not endpoint_id:
-            raise ValueError("no instanceId")
+            raise ValueError("instanceId is empty or not a string")
         entry = EndpointEntry(
             endpoint_id,
-            self._zones[row["zone"]],
-            self._machine_types.get(row.get("machineType", ""), 0),
-            int(row.get("cell", 0)),
-            STATES[row["lifecycle"]],
+            self._zones[instance["zone"]],
+            self._machine_types.get(instance.get("machineType", ""), 0),
+            int(instance.get("cell", 0)),
+            STATES[instance["lifecycle"]],
             weight,
         )
-        return ListedEndpoint(entry, (address.strip("[]"), int(port))), stamp_ms
+        return ListedEndpoint(entry, (address.strip("[]"), int(port))), start_time_ms
--- a/gateway/discovery/errors.py
+++ b/gateway/discovery/errors.py
@@ -1,8 +1,9 @@
-"""Why a call of discovery, or an endpoint list that it brought, can't be used."""
+"""Errors of discovery calls and of the endpoint lists that they return."""
 
 from __future__ import annotations
 
 __all__ = [
+    "CallTimeoutError",
     "ConnectFailedError",
     "ConnectionLostError",
     "DiscoveryCallError",
@@ -11,36 +12,35 @@
     "MalformedResponseError",
     "OversizedLineError",
     "ResponseEndedError",
-    "SilentCallError",
     "TruncatedUpdateError",
     "UnexpectedStatusError",
 ]
 
 
 class EndpointListError(Exception):
-    """An endpoint list, or a delta of one, whose outermost fields are missing or of the wrong type."""
+    """The top-level fields of a snapshot or delta are missing or of the wrong type."""
 
 
 class DiscoveryCallError(Exception):
-    """A call of discovery has failed."""
+    """Base class: a discovery call failed."""
 
 
 class ConnectFailedError(DiscoveryCallError):
-    """The connection could not be opened."""
+    """The connection could not be established."""
 
     def __init__(self, cause: OSError) -> None:
-        super().__init__(f"no connection: {cause}")
+        super().__init__(f"connecting failed: {cause}")
 
 
 class ConnectionLostError(DiscoveryCallError):
-    """The connection has ended; `cause` is None where the other side has closed it in order."""
+    """The connection was lost; `cause` is None if discovery closed it without an error."""
 
     def __init__(self, cause: Exception | None) -> None:
         super().__init__(f"connection lost: {cause}")
 
 
 class MalformedResponseError(DiscoveryCallError):
-    """The response is not HTTP/1.1."""
+    """The response is not valid HTTP/1.1."""
 
     def __init__(self, cause: Exception) -> None:
         super().__init__(f"malformed response: {cause}")
@@ -50,40 +50,40 @@
     """The status of the response is not 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"unexpected status {status}")
         self.status = status
 
 
 class ResponseEndedError(DiscoveryCallError):
-    """The response to a watch has ended, which should stay open."""
+    """The response to a watch ended, although it must stay open."""
 
     def __init__(self) -> None:
-        super().__init__("the response to a watch has ended")
+        super().__init__("the response to a watch ended")
 
 
 class OversizedLineError(DiscoveryCallError):
-    """A line, or an object over several lines, is longer than the gateway buffers."""
+    """A line or a multi-line object exceeds the limit."""
 
     def __init__(self) -> None:
-        super().__init__("a line is too long")
+        super().__init__("line or object too long")
 
 
 class TruncatedUpdateError(DiscoveryCallError):
-    """An empty line came before an object over several lines was complete."""
+    """An empty line was received before a multi-line object was complete."""
 
     def __init__(self) -> None:
-        super().__init__("an object was cut short")
+        super().__init__("truncated JSON object")
 
 
 class InvalidUpdateError(DiscoveryCallError):
-    """An update can't be read; `cause` says what is wrong with it."""
+    """An update can't be parsed; `cause` is the error of the parser."""
 
     def __init__(self, cause: Exception) -> None:
         super().__init__(f"invalid update: {cause}")
 
 
-class SilentCallError(DiscoveryCallError):
-    """Nothing has come for too long."""
+class CallTimeoutError(DiscoveryCallError):
+    """Discovery has not sent any data for too long."""
 
     def __init__(self) -> None:
-        super().__init__("silent for too long")
+        super().__init__("timed out without data")
--- a/gateway/discovery/response_reader.py
+++ b/gateway/discovery/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads the HTTP response of discovery: its status, and its body as lines."""
+"""Incremental parser of the HTTP response of discovery, whose body is read as lines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ResponseReader:
-    """The response to one call, as far as it has come.
+    """Incremental parser of the response to one call.
 
-    The methods called `on_...` are called by httptools from within `feed`; they only take notes, as httptools
-    hides what they raise.
+    httptools calls the `on_...` methods during `feed`; they only store values, because httptools does not
+    pass their exceptions on.
     """
 
     def __init__(self, splits_lines: bool) -> None:
-        """`splits_lines`: the body is read line by line as it comes, not as one piece at its end."""
+        """`splits_lines`: return the body line by line as it arrives, not as a whole at its end."""
         self._splits_lines = splits_lines
         self._parser = httptools.HttpResponseParser(self)
         self._status = 0
@@ -28,39 +28,39 @@
         self.is_complete = False
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes.  Raises MalformedResponseError or UnexpectedStatusError."""
+        """Parse received bytes.  Raises MalformedResponseError or UnexpectedStatusError."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise MalformedResponseError(error) from None
-        if self._status not in (0, STATUS_OK):  # 0: the head may come in pieces
+        if self._status not in (0, STATUS_OK):  # 0: the head is still incomplete
             raise UnexpectedStatusError(self._status)
 
     def take_lines(self) -> list[bytes]:
-        """The lines that have come since the last call, without their line ends."""
+        """Return the complete lines since the last call, without line endings."""
         lines, self._lines = self._lines, []
         return lines
 
     @property
     def buffered(self) -> bytes:
-        """What has come of the body and is not part of a complete line."""
+        """The received part of the body that has not been split into lines."""
         return bytes(self._buffer)
 
     @property
     def buffered_size(self) -> int:
-        """Length of `buffered`, bytes."""
+        """Length of `buffered` in bytes."""
         return len(self._buffer)
 
     def release(self) -> None:
-        """Drop the parser, which refers back: a cycle would wait for the garbage collector."""
+        """Break the reference cycle with the parser, which only the garbage collector would free."""
         del self._parser
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Called when the head is complete."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body has come."""
+        """Called for each piece of the body."""
         self._buffer += body
         if self._splits_lines and b"\n" in body:
             *lines, partial_line = bytes(self._buffer).split(b"\n")
@@ -68,5 +68,5 @@
             self._buffer = bytearray(partial_line)
 
     def on_message_complete(self) -> None:
-        """The body is complete."""
+        """Called when the body is complete."""
         self.is_complete = True
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -20,7 +20,7 @@
 
 DEFAULT_CONNECT_TIMEOUT_NS = 250 * MS
 IDLE_TIMEOUT_SHARE = 0.6
-"""Idle connections are closed after this share of the endpoints' idle timeout, before the endpoints do so."""
+"""Share of the endpoints' idle timeout after which idle connections are closed, well before they do so."""
 DEFAULT_MAX_IDLE_NS = 10 * SECOND
 
 
@@ -33,16 +33,18 @@
         timers: Timers,
         max_connections: int,
         connect_timeout_ns: int,
-        endpoint_idle_timeout_ns: int,
+        idle_timeout_ns: int,
     ) -> None:
-        """`endpoint_idle_timeout_ns` is the endpoints' own idle timeout; either time may be 0 for its default."""
+        """`idle_timeout_ns` is the endpoints' own idle timeout; either timeout may be 0 for its default."""
         self._loop = loop
         self._timers = timers
         self._max_connections = max_connections
         self._connect_timeout_ns = connect_timeout_ns or DEFAULT_CONNECT_TIMEOUT_NS
-        self._max_idle_ns = int(endpoint_idle_timeout_ns * IDLE_TIMEOUT_SHARE) if endpoint_idle_timeout_ns else DEFAULT_MAX_IDLE_NS
+        self._max_idle_ns = (
+            int(idle_timeout_ns * IDLE_TIMEOUT_SHARE) if idle_timeout_ns else DEFAULT_MAX_IDLE_NS
+        )
         self.endpoints: dict[EndpointId, UpstreamEndpoint] = {}
-        self._connections: set[EndpointConnection] = set()
+        self._connections: set[EndpointConnection] = set()  # open or being opened
         self.connections_opened = 0
         """Number of connections started since the process began."""
 
@@ -93,7 +95,7 @@
         self._end_attempt(attempt, Outcome.CANCELLED)
 
     def expire_attempt(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise CONNECT_FAILED."""
+        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise it can't have run."""
         is_written = attempt.connection is not None and attempt.connection.is_request_written()
         self._end_attempt(attempt, Outcome.TIMEOUT if is_written else Outcome.CONNECT_FAILED)
 
@@ -154,7 +156,7 @@
             endpoint.close_idle()
 
     def sweep(self, now: int) -> None:
-        """Close connections that have been idle too long, before the endpoints close them; `now` in monotonic ns."""
+        """Close connections that have been idle too long, well before the endpoints close them."""
         for endpoint in self.endpoints.values():
             endpoint.close_expired(now, self._max_idle_ns)
 
