--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -49,14 +49,14 @@
         drain_grace_ns: int,
         notify: Callable[[UpdateKind, list[ListedEndpoint]], None],
     ) -> None:
-        """`pushed`: lists are pushed, not polled; `drain_grace_ns`: how long draining endpoints still serve."""
+        """`pushed`: lists are pushed, not polled; `drain_grace_ns`: how long a draining endpoint serves."""
         self._loop = loop
         self._timers = timers
         self.address = address
         self.address_version = 0
         """Incremented with each change of the address."""
         self.generation = 0
-        """The last generation, cached or received, in the numbering of the current address; 0 if there is none."""
+        """The last generation, cached or received, as numbered by the current address; 0 for none."""
         self.address_changed_ns = -FAST_RECONNECT_PERIOD_NS
         """Monotonic time of the last change of address."""
         self._parser = parser
@@ -85,7 +85,7 @@
             self.watch(True)
 
     def watch(self, active: bool) -> None:
-        """Open the watch unless it is open, or close it; a second one would cost bandwidth and bring nothing."""
+        """Open the watch unless it is open, or close it; a second one would only cost bandwidth."""
         if active and self.current_watch is None and self._replacement_watch is None:
             self.current_watch = self._call(True)
         elif active:
@@ -199,7 +199,7 @@
         self.on_call_ended(call, InvalidUpdateError(cause))
 
     def on_call_ended(self, call: DiscoveryCall, error: DiscoveryCallError | None) -> None:
-        """Handle the end of a call; `error` is None if a fetch was successful.  Ignored if already handled."""
+        """Handle the end of a call, once; `error` is None if a fetch was successful."""
         if call.is_closed:
             return
         call.close()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets: backoff, changes of address, and what follows the endpoint list."""
+"""Discovery over loopback sockets: backoff, changes of address, and updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import pytest
 
 from balancer import SECOND, EndpointState, UpdateKind
-from gateway.discovery.discovery import HANDOVER
+from gateway.discovery.discovery import FAST_RECONNECT_PERIOD_NS
 from gateway.timers import now_ns
 from tests.support.discovery import DRAIN_GRACE, ENTRY, DiscoveryHarness, address_of
 from tests.support.loopback import FakeDiscovery, FakeEndpoint, GatewayHarness, request, wait_until
 
 
-async def test_where_lists_are_pushed_the_watch_opens_by_itself_and_again() -> None:
+async def test_pushed_watch_is_opened_and_reopened_without_the_balancer() -> None:
     harness = await DiscoveryHarness.start(is_pushed=True)
     server = harness.server
     _, writer = await server.calls.get()
@@ -22,8 +22,8 @@
     assert "watch=1" in (await server.calls.get())[0]
 
 
-async def test_where_lists_are_pushed_the_backoff_stays_short_however_often_calls_fail() -> None:
-    """The gateway counts as notified of what its agent has; after eight failures it waited up to 7.5 s."""
+async def test_pushed_backoff_stays_within_the_drain_grace_after_many_failures() -> None:
+    """A pushed change counts as notified at once, but after eight failures the backoff waited up to 7.5 s."""
     harness = await DiscoveryHarness.start(is_pushed=True)
     server = harness.server
     for _ in range(8):
@@ -33,7 +33,7 @@
         assert max(harness.timers.delays) <= DRAIN_GRACE // 2
 
 
-async def test_a_new_address_takes_over_with_its_first_update_and_not_before() -> None:
+async def test_old_watch_is_used_until_the_first_update_of_a_new_address() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     other, third = await FakeDiscovery().start(), await FakeDiscovery().start()
@@ -42,11 +42,11 @@
     server.head(old)
     server.line(old, 42, [])
     await harness.updates.get()
-    discovery.move_to(address_of(third))  # a repeated change: the last one counts
+    discovery.move_to(address_of(third))  # changed again below: only the last address is used
     await third.calls.get()
     discovery.move_to(address_of(other))
     first, new = await other.calls.get()
-    assert "from=0 " in first  # another address need not count its versions as the old one
+    assert "from=0 " in first  # generations of different addresses are not comparable
     server.line(old, 43, [{**ENTRY, "lifecycle": "terminating"}])
     kind, [endpoint] = await harness.updates.get()
     assert (kind, endpoint.entry.state) == (UpdateKind.DELTA, EndpointState.DRAINING)
@@ -55,14 +55,14 @@
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
     server.line(old, 44, [{**ENTRY, "lifecycle": "terminated"}])
     other.line(new, 8, [])
-    assert await harness.updates.get() == (UpdateKind.DELTA, [])  # nothing of the old one came between
+    assert await harness.updates.get() == (UpdateKind.DELTA, [])  # no update of the old watch in between
     new.close()
     assert "from=8 " in (await other.calls.get())[0]
     assert server.calls.empty()
     assert third.calls.empty()
 
 
-async def test_a_new_address_that_fails_at_first_is_called_again_without_the_balancer() -> None:
+async def test_failed_watch_of_a_new_address_is_reopened_without_the_balancer() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     other = await FakeDiscovery().start()
@@ -75,25 +75,25 @@
     _, new = await other.calls.get()
     other.head(new)
     other.line(new, 7, [ENTRY], reset=True)
-    assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT  # and no failure before it
+    assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT  # no failure was reported before it
 
 
-async def test_a_new_address_that_stays_dead_is_left_to_the_balancer() -> None:
+async def test_failure_after_the_fast_reconnect_period_is_left_to_the_balancer() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     other = await FakeDiscovery().start()
     discovery.watch(True)
     await server.calls.get()
     discovery.move_to(address_of(other))
-    discovery.moved_at_ns -= HANDOVER  # the handover is over
+    discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS  # the period is over
     _, new = await other.calls.get()
     new.close()
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
-    discovery.watch(True)  # the old address responds, but discovery is no longer there
+    discovery.watch(True)  # the old watch is still open, but on an obsolete address
     assert "from=0 " in (await other.calls.get())[0]
 
 
-async def test_where_lists_are_pushed_a_new_address_is_called_while_the_old_watch_is_open() -> None:
+async def test_pushed_watch_of_a_new_address_is_reopened_while_the_old_one_is_open() -> None:
     harness = await DiscoveryHarness.start(is_pushed=True)
     server, discovery = harness.server, harness.discovery
     other = await FakeDiscovery().start()
@@ -103,7 +103,7 @@
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.move_to(address_of(other))
     _, new = await other.calls.get()
-    discovery.moved_at_ns -= HANDOVER  # the handover is over when the first call fails
+    discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS  # the period is over when the first call fails
     new.close()
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
     _, new = await asyncio.wait_for(other.calls.get(), 5)
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("is_pushed", [False, True])
-async def test_a_new_address_that_accepts_and_stays_silent_is_called_again_in_time(is_pushed: bool) -> None:
-    """The gateway counts as notified of its list 4 s after the signal, and 6 s after it could be reached."""
+async def test_unresponsive_new_address_is_called_again_in_time(is_pushed: bool) -> None:
+    """The gateway counts as notified 4 s after the signal, and 6 s after the address became reachable."""
     harness = await DiscoveryHarness.start(is_pushed=is_pushed)
     server, discovery = harness.server, harness.discovery
     other = await FakeDiscovery().start()
@@ -125,14 +125,14 @@
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.move_to(address_of(other))
     await other.calls.get()
-    old.close()  # as the old address does soon after the change
+    old.close()  # the old address goes away soon after the change
     await wait_until(lambda: discovery.current_watch is None)
-    discovery.moved_at_ns -= HANDOVER
+    discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS
     discovery.sweep(now_ns() + 17 * SECOND // 4)
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
-    if is_pushed:  # the balancer does not call
+    if is_pushed:  # the balancer does not open watches
         assert harness.timers.delays[-1] <= DRAIN_GRACE // 2
-    else:  # the balancer calls: its watch broke, and so within a second
+    else:  # the balancer reopens a failed watch within a second
         discovery.watch(True)
     _, new = await other.calls.get()
     other.head(new)
@@ -140,7 +140,7 @@
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
 
 
-async def test_connections_follow_the_endpoint_list() -> None:
+async def test_endpoint_list_updates_open_and_close_connections() -> None:
     async with GatewayHarness() as harness:
         endpoint, other = FakeEndpoint("h0"), FakeEndpoint("h1")
         await harness.begin(endpoint, other, rows=[])
@@ -152,6 +152,6 @@
         assert (await client.exchange(request()))[0] == 200
         received = await endpoint.received.get()
         harness.discovery.line(writer, 43, [other.row()], reset=True)
-        await received.closed()  # the list no longer names it
+        await received.closed()  # it is no longer listed
         assert (await client.exchange(request(request_id="r2")))[0] == 200
         assert (await other.received.get()).headers["x-request-id"] == "r2"
--- a/tests/gateway/test_discovery_calls.py
+++ b/tests/gateway/test_discovery_calls.py
@@ -1,4 +1,4 @@
-"""Watches and fetches, over loopback sockets: what they bring, and when they have failed."""
+"""Watches and fetches over loopback sockets: their updates, failures and timeouts."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import pytest
 
 from balancer import SECOND, EndpointState, UpdateKind
-from gateway.discovery.call import MAX_LINE
+from gateway.discovery.call import MAX_LINE_BYTES
 from gateway.timers import now_ns
 from tests.support.discovery import ENTRY, DiscoveryHarness
 from tests.support.loopback import wait_until
 
 
-async def test_a_watch_brings_changes_and_resumes_at_its_generation() -> None:
+async def test_watch_reports_updates_and_resumes_at_the_last_generation() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
-    discovery.watch(True)  # a second one would cost lines and bring nothing
+    discovery.watch(True)  # must not open a second watch
     first, writer = await server.calls.get()
     assert first == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
     server.head(writer)
@@ -44,10 +44,10 @@
         b'{"generation": 44}\n',
         b"[" * 9999 + b"\n",
         b'{"generation": 1e999, "instances": []}\n',
-        b"x" * (MAX_LINE + 1),
+        b"x" * (MAX_LINE_BYTES + 1),
     ],
 )
-async def test_an_invalid_line_is_dropped_and_its_changes_are_polled_again(line: bytes) -> None:
+async def test_invalid_line_is_dropped_and_its_changes_are_requested_again(line: bytes) -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("indent", [0, 2, "\t"])
-async def test_an_update_may_come_indented(indent: int | str) -> None:
+async def test_indented_update_is_parsed(indent: int | str) -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("has_heartbeat", [True, False])
-async def test_an_update_that_is_cut_short_is_polled_again(has_heartbeat: bool) -> None:
+async def test_truncated_update_is_requested_again(has_heartbeat: bool) -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
@@ -112,14 +112,14 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     ],
 )
-async def test_a_failed_call_is_reported_once(response: bytes) -> None:
+async def test_failed_call_is_reported_once(response: bytes) -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     _, writer = await server.calls.get()
     writer.write(response)
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
-    discovery.fetch()  # a later call works, and nothing more is reported of the first
+    discovery.fetch()  # succeeds; the first call must not be reported again
     _, writer = await server.calls.get()
     body = b'{"generation": 50, "reset": true, "instances": []}'
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -127,7 +127,7 @@
     assert harness.updates.empty()
 
 
-async def test_a_silent_watch_is_given_up() -> None:
+async def test_watch_without_data_times_out() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
@@ -135,14 +135,14 @@
     server.head(writer)
     server.line(writer, 43, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
-    discovery.sweep(now_ns() + 11 * SECOND // 4)  # one late heartbeat is no failure
+    discovery.sweep(now_ns() + 11 * SECOND // 4)  # a late heartbeat is not a failure
     assert harness.updates.empty()
-    # The gateway counts as notified of what it misses after 6 s: half of them are left for the next call.
+    # The gateway counts as notified of missed changes after 6 s; half of that is left for the next call.
     discovery.sweep(now_ns() + 13 * SECOND // 4)
     assert await asyncio.wait_for(harness.updates.get(), 2) == (UpdateKind.FAILED, [])
 
 
-async def test_a_response_that_comes_byte_by_byte_is_read() -> None:
+async def test_response_received_byte_by_byte_is_parsed() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
@@ -151,20 +151,20 @@
     assert call is not None
     line = json.dumps({"generation": 43, "instances": [ENTRY]}).encode() + b"\n"
     text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line)
-    for byte in text:  # as the loop would hand them on, had each come by itself
+    for byte in text:  # as if each byte arrived in a segment of its own
         call.data_received(bytes([byte]))
     kind, [endpoint] = await asyncio.wait_for(harness.updates.get(), 2)
     assert (kind, endpoint.entry.endpoint_id) == (UpdateKind.DELTA, "h0")
     assert harness.updates.empty()
 
 
-async def test_a_watch_that_falls_silent_before_its_first_line_leaves_time_for_another() -> None:
+async def test_watch_without_a_response_times_out_in_time_for_another_call() -> None:
     harness = await DiscoveryHarness.start()
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     await server.calls.get()
-    discovery.sweep(now_ns() + 3 * SECOND)  # calls wait their turn
+    discovery.sweep(now_ns() + 3 * SECOND)  # a call may have to wait for its turn
     assert harness.updates.empty()
-    # The gateway counts as notified 6 s after the watch fell silent: the next call has to respond by then.
+    # The gateway counts as notified after 6 s without data; the next call must respond within that time.
     discovery.sweep(now_ns() + 9 * SECOND // 2)
     assert await asyncio.wait_for(harness.updates.get(), 2) == (UpdateKind.FAILED, [])
--- a/tests/gateway/test_endpoint_list_parser.py
+++ b/tests/gateway/test_endpoint_list_parser.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list, as discovery words them."""
+"""Parsing of the endpoint list from the JSON objects of discovery."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.support.discovery import ENTRY
 
 
-def parser() -> EndpointListParser:
-    """A parser with the zones and machine types of `ENTRY`."""
+def make_parser() -> EndpointListParser:
+    """A parser that knows the zones and machine types of `ENTRY`."""
     return EndpointListParser(["a", "b"], ["m1", "m2"])
 
 
-def test_an_entry_is_parsed() -> None:
+def test_entry_is_parsed() -> None:
     newer = {**ENTRY, "instanceId": "h1", "startedAtMs": 5000}
     document = {"generation": 41, "reset": True, "instances": [ENTRY, newer]}
-    update = parser().parse(document, 60 * SECOND)
+    update = make_parser().parse(document, 60 * SECOND)
     (entry, address), (other, _) = update.endpoints
     assert (update.generation, update.is_snapshot, address) == (41, True, ("127.0.0.1", 7070))
     assert entry == ("h0", 1, 1, 3, EndpointState.READY, 1.5, 57 * SECOND)
-    assert other.started_ns == 60 * SECOND  # not later than that, and no clock says how much earlier
+    assert other.started_ns == 60 * SECOND  # latest possible start; the wall clock is not used
 
 
 @pytest.mark.parametrize(
@@ -40,9 +40,9 @@
         {"startedAtMs": -1},
     ],
 )
-def test_an_invalid_entry_is_dropped_and_the_others_count(change: dict[str, Any]) -> None:
+def test_invalid_entry_is_dropped_and_the_others_are_kept(change: dict[str, Any]) -> None:
     document = {"generation": 41, "instances": [{**ENTRY, **change}, {**ENTRY, "instanceId": "h1"}, None]}
-    endpoints = parser().parse(document, SECOND).endpoints
+    endpoints = make_parser().parse(document, SECOND).endpoints
     assert [endpoint.entry.endpoint_id for endpoint in endpoints] == ["h1"]
 
 
@@ -57,6 +57,6 @@
         {"generation": 41, "instances": [], "reset": 1},
     ],
 )
-def test_an_invalid_document_is_an_error(document: Any) -> None:
+def test_invalid_document_raises_an_error(document: Any) -> None:
     with pytest.raises(EndpointListError):
-        parser().parse(document, SECOND)
+        make_parser().parse(document, SECOND)
--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Responses of endpoints, over loopback sockets: which are complete, which invalid, and their outcomes."""
+"""Responses of endpoints over loopback sockets: complete and invalid ones, and their outcomes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from balancer import Outcome
-from gateway.upstream.response_parser import MAX_HEAD
+from gateway.upstream.response_parser import MAX_HEAD_BYTES
 from tests.support.loopback import OK, FakeEndpoint
 from tests.support.upstream import UpstreamHarness
 
@@ -26,7 +26,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length:4 \t \r\n\r\ndone",
             False,
             Outcome.OK,
-        ),  # white space is no part of it
+        ),  # surrounding white space is not part of the value
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: \tchunked \r\n\r\n4\r\ndone\r\n0\r\n\r\n",
             False,
@@ -44,7 +44,7 @@
         (b"HTTP/1.1 503 No\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", False, Outcome.ERROR),
         (b"", True, Outcome.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone", True, Outcome.INVALID_RESPONSE),
-        (b"HTTP/1.1 200 OK\r\n\r\ndone", True, Outcome.OK),  # without a length it ends with its connection
+        (b"HTTP/1.1 200 OK\r\n\r\ndone", True, Outcome.OK),  # the body ends with the connection
         (b"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\ndone", True, Outcome.OK),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\ndone", True, Outcome.OK),
         (b"HTTP/1.1 500 Oh\r\n\r\ndone", True, Outcome.ERROR),
@@ -69,13 +69,17 @@
             False,
             Outcome.INVALID_RESPONSE,
         ),
-        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD + b"\r\n\r\n", False, Outcome.INVALID_RESPONSE),
-        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9 * MAX_HEAD, False, Outcome.INVALID_RESPONSE),
+        (
+            b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES + b"\r\n\r\n",
+            False,
+            Outcome.INVALID_RESPONSE,
+        ),
+        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9 * MAX_HEAD_BYTES, False, Outcome.INVALID_RESPONSE),
         (b"HTTP/1.1 101 Up\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", False, Outcome.INVALID_RESPONSE),
         (b"noise\r\n\r\n", False, Outcome.INVALID_RESPONSE),
     ],
 )
-async def test_outcomes_are_those_of_the_table(reply: bytes, closes: bool, outcome: Outcome) -> None:
+async def test_response_maps_to_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
@@ -83,25 +87,25 @@
     received.reply(reply)
     if closes:
         received.writer.close()
-    got, response = await result
-    assert got is outcome
+    actual, response = await result
+    assert actual is outcome
     assert (response.body if response else None) == (b"done" if outcome is Outcome.OK else None)
 
 
-@pytest.mark.parametrize("cut", range(0, 60, 7))
-async def test_a_response_without_a_length_that_is_reset_is_not_complete(cut: int) -> None:
+@pytest.mark.parametrize("length", range(0, 60, 7))
+async def test_reset_does_not_complete_a_response_without_a_length(length: int) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
     received = await endpoint.received.get()
-    received.reply(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nthe whole of the body"[:cut])
+    received.reply(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nthe whole of the body"[:length])
     sock = received.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     received.writer.transport.abort()
     assert await result in [(Outcome.INVALID_RESPONSE, None), (Outcome.RESET, None)]
 
 
-async def test_the_status_of_a_second_message_does_not_count_for_the_first() -> None:
+async def test_second_response_does_not_change_the_outcome_of_the_first() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     for first, second, outcome in (
@@ -115,17 +119,17 @@
         await received.closed()
 
 
-async def test_a_response_that_may_be_cut_short_is_not_served() -> None:
+async def test_response_followed_by_other_data_is_invalid() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
     received = await endpoint.received.get()
-    received.reply(OK + b" and the rest of it")  # the length is too short, or this is noise
+    received.reply(OK + b" and the rest of it")  # Content-Length may be too small, or this is unrelated data
     assert await result == (Outcome.INVALID_RESPONSE, None)
     await received.closed()
 
 
-async def test_a_large_response_in_pieces_is_no_long_head() -> None:
+async def test_large_body_in_pieces_does_not_count_towards_the_head() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -12,7 +12,7 @@
 from tests.support.upstream import MAX_OPEN, UpstreamHarness, address_of, age_idle_connections, open_listener
 
 
-async def test_a_connection_is_used_again() -> None:
+async def test_connection_is_reused() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
@@ -23,7 +23,7 @@
         assert endpoint.connections == 1
 
 
-async def test_a_cancelled_connect_leaves_nothing_behind() -> None:
+async def test_cancelled_connects_free_their_slots() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
     for _ in range(2 * MAX_OPEN):
@@ -34,11 +34,11 @@
 
 
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
-async def test_old_connections_are_not_used_after_an_endpoint_has_changed(change: str) -> None:
+async def test_connections_are_not_reused_after_the_endpoint_changed(change: str) -> None:
     harness, endpoint, second = UpstreamHarness(), await FakeEndpoint().start(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
     assert (await harness.start()[1])[0] is Outcome.OK
-    age_idle_connections(harness.upstream)  # they could be used again
+    age_idle_connections(harness.upstream)  # old enough to be reused
     received = await endpoint.received.get()
     if change == "gone":
         harness.list_endpoint(endpoint.address, EndpointState.GONE)
@@ -50,7 +50,7 @@
     assert endpoint.connections + second.connections == 2
 
 
-async def test_the_newest_connection_is_used_and_idle_ones_are_closed_in_time() -> None:
+async def test_newest_connection_is_reused_and_old_idle_ones_are_closed() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     results = [harness.start()[1] for _ in range(2)]
@@ -60,38 +60,38 @@
         assert (await result)[0] is Outcome.OK
     age_idle_connections(harness.upstream)
     harness.upstream.sweep(now_ns() + 8 * SECOND)
-    third, result = harness.start()
-    assert (await received[1].reader.readline()).startswith(b"GET ")  # on the one that became idle last
-    harness.upstream.cancel_attempt(third)
+    third_attempt, result = harness.start()
+    assert (await received[1].reader.readline()).startswith(b"GET ")  # the one that became idle last
+    harness.upstream.cancel_attempt(third_attempt)
     harness.upstream.sweep(now_ns() + 10 * SECOND)  # the endpoint would close after 15 s
     await received[0].closed()
 
 
-@pytest.mark.parametrize("late", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", None])
-async def test_unread_bytes_of_an_idle_connection_are_not_taken_for_the_next_response(
-    late: bytes | None,
+@pytest.mark.parametrize("late_data", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", None])
+async def test_idle_connection_with_unread_input_is_not_reused(
+    late_data: bytes | None,
 ) -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
         _, result = harness.start()
-        old, _ = await loop.sock_accept(listener)
-        await loop.sock_recv(old, 1000)
-        await loop.sock_sendall(old, OK)
+        old_socket, _ = await loop.sock_accept(listener)
+        await loop.sock_recv(old_socket, 1000)
+        await loop.sock_sendall(old_socket, OK)
         assert (await result)[0] is Outcome.OK
-        old.setblocking(True)  # what follows comes while the loop stands still
-        if late:
-            old.sendall(late)
+        old_socket.setblocking(True)  # what follows arrives while the event loop is blocked
+        if late_data:
+            old_socket.sendall(late_data)
         else:
-            old.close()
-        age_idle_connections(harness.upstream)  # or it would not be considered
+            old_socket.close()
+        age_idle_connections(harness.upstream)  # otherwise too recent to be reused
         _, result = harness.start()
-        new, _ = await loop.sock_accept(listener)
-        await loop.sock_recv(new, 1000)
-        await loop.sock_sendall(new, OK)
+        new_socket, _ = await loop.sock_accept(listener)
+        await loop.sock_recv(new_socket, 1000)
+        await loop.sock_sendall(new_socket, OK)
         outcome, response = await result
         assert outcome is Outcome.OK
         assert response is not None
         assert response.body == b"done"
-        old.close()
-        new.close()
+        old_socket.close()
+        new_socket.close()
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, over loopback sockets: what they carry, and how their attempts end."""
+"""Connections to endpoints over loopback sockets: their states, and the outcomes of their attempts."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.support.upstream import UpstreamHarness, address_of, full_listener, open_listener, peek
 
 
-async def test_an_attempt_at_a_closed_port_failed_to_connect() -> None:
+async def test_closed_port_gives_connect_failed() -> None:
     harness = UpstreamHarness()
     with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))  # bound, but nobody listens
+        free.bind(("127.0.0.1", 0))  # bound, but not listening
         harness.list_endpoint(address_of(free))
         assert (await harness.start()[1])[0] is Outcome.CONNECT_FAILED
 
 
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
-async def test_a_connection_that_opens_late_sends_nothing(within: int) -> None:
+async def test_connection_established_late_sends_nothing(within: int) -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     listener, fill, address = full_listener()
     with listener:
@@ -33,7 +33,7 @@
         listener.setblocking(False)
         for sock in fill:
             sock.close()
-        while True:  # whatever is accepted by now must be silent
+        while True:  # no accepted connection may carry data
             try:
                 accepted, _ = await asyncio.wait_for(loop.sock_accept(listener), 0.3)
             except TimeoutError:
@@ -42,7 +42,7 @@
                 assert await loop.sock_recv(accepted, 100) == b""
 
 
-async def test_an_endpoint_that_drains_while_the_connection_opens_gets_nothing() -> None:
+async def test_no_request_is_sent_to_an_endpoint_that_drained_during_the_connect() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
@@ -51,18 +51,18 @@
     assert endpoint.received.empty()
 
 
-async def test_an_attempt_that_breaks_before_its_last_byte_is_written_never_ran() -> None:
+async def test_reset_before_the_last_byte_is_written_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener(receive_buffer=4096) as listener:
         harness.list_endpoint(address_of(listener))
         _, result = harness.start(body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 100)
-        accepted.close()  # with bytes unread: a reset
+        accepted.close()  # unread data makes this a reset
         assert (await result)[0] is Outcome.CONNECT_FAILED
 
 
-async def test_a_partly_written_request_that_times_out_never_ran() -> None:
+async def test_timeout_of_a_partly_written_request_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
@@ -72,7 +72,7 @@
             assert (await result)[0] is Outcome.CONNECT_FAILED
 
 
-async def test_an_attempt_that_ends_closes_its_connection() -> None:
+async def test_cancellation_and_timeout_close_the_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     attempt, result = harness.start()
@@ -88,8 +88,8 @@
 
 
 @pytest.mark.parametrize("how", ["cancel_attempt", "expire_attempt", "invalid"])
-async def test_an_attempt_has_left_its_connection_before_the_next_is_written(how: str) -> None:
-    """The transport closes its socket a turn later; a retry on an idle connection was sent before that."""
+async def test_connection_is_shut_down_before_a_retry_can_be_sent(how: str) -> None:
+    """The transport closes its socket one loop iteration later; a retry could be sent before that."""
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
@@ -98,19 +98,19 @@
         with accepted:
             await loop.sock_recv(accepted, 1000)
             if how == "invalid":
-                at_its_end: list[bytes | None] = []
-                attempt.on_ended = lambda *_: at_its_end.append(peek(accepted))
+                peeked_at_end: list[bytes | None] = []
+                attempt.on_ended = lambda *_: peeked_at_end.append(peek(accepted))
                 await loop.sock_sendall(accepted, b"noise\r\n\r\n")
-                await wait_until(lambda: bool(at_its_end))
-                assert at_its_end == [b""]
+                await wait_until(lambda: bool(peeked_at_end))
+                assert peeked_at_end == [b""]
             else:
                 getattr(harness.upstream, how)(attempt)
-                # Without a turn of the loop:
+                # The event loop has not run in between.
                 assert result.done()
                 assert peek(accepted) == b""
 
 
-async def test_a_late_second_response_does_not_reach_the_next_request() -> None:
+async def test_late_second_response_is_not_taken_for_the_next_response() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint)
@@ -120,18 +120,18 @@
         first.reply()
         assert (await client.response())[::2] == (200, b"done")
         [upstream_endpoint] = harness.gateway.upstream.endpoints.values()
-        # The next request comes too soon for this connection, however slow this machine is.
+        # The connection is too recent for the next request, even if this machine is slow.
         upstream_endpoint.idle[0].idle_since_ns += 60 * SECOND
         client.send(request(request_id="r1"))
-        second = await asyncio.wait_for(endpoint.received.get(), 5)  # on a connection of its own
+        second = await asyncio.wait_for(endpoint.received.get(), 5)  # on another connection
         assert second.headers["x-request-id"] == "r1"
         first.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
-        await first.closed()  # the gateway has read it
+        await first.closed()  # by then the gateway has read the late response
         second.reply()
         assert (await client.response())[::2] == (200, b"done")
 
 
-async def test_unexpected_bytes_close_an_idle_connection() -> None:
+async def test_unexpected_data_closes_an_idle_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
@@ -147,7 +147,7 @@
     await received.closed()
 
 
-async def test_an_illegal_transition_is_logged_and_changes_nothing(caplog: pytest.LogCaptureFixture) -> None:
+async def test_illegal_transition_is_logged_and_ignored(caplog: pytest.LogCaptureFixture) -> None:
     harness, endpoint = UpstreamHarness(), UpstreamEndpoint()
     attempt, _ = harness.start()
     connection = EndpointConnection(harness.upstream, endpoint, attempt)
@@ -156,7 +156,7 @@
     assert [record.levelname for record in caplog.records] == ["ERROR"]
 
 
-async def test_a_connection_passes_through_its_states() -> None:
+async def test_states_of_a_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     attempt, result = harness.start()
