--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -60,7 +60,7 @@
         """Starts slow start for an endpoint.
 
         The initial credit is random, so that the gateways that draw from the endpoint do not all send at
-        once, and so that a rate below one attempt per second is kept on average.
+        once, and so that a rate below one attempt per second is met on average.
         """
         endpoint.clear()
         endpoint.started_at = started_at
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -27,7 +27,7 @@
 
 
 def test_an_unresponsive_endpoint_is_ejected_by_requests_that_may_not_be_retried() -> None:
-    """Non-idempotent attempts have no timeout, so an unresponsive endpoint kept half of all requests."""
+    """Non-idempotent attempts last until the deadline, and an unresponsive endpoint still got half of them."""
     gateway = GatewayModel(
         make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("good"), make_entry("silent")]
     )
@@ -43,9 +43,9 @@
 
 
 def test_failures_of_slow_requests_eject_an_endpoint_for_fast_ones_too() -> None:
-    """An ejection lasts equally long for requests with any T1.
+    """Failures decay no faster for requests with a short T1.
 
-    Failures decayed by the T1 of the current request, so the class with the shortest latency objective kept
+    They decayed by the T1 of the current request, so the class with the shortest latency objective went on
     sending to unresponsive endpoints.
     """
     fast = make_class(name="fast", latency_objective_ns=100 * MS)
@@ -58,7 +58,7 @@
 
 
 def test_endpoints_that_reject_everything_are_left_to_recover() -> None:
-    """Gateways kept sending to a subset that rejected all attempts for overload, so it never recovered."""
+    """Gateways went on sending to a subset that rejected all attempts for overload, so it never recovered."""
     gateway = GatewayModel(make_settings(), [make_entry("a"), make_entry("b")])
     for _ in range(400):  # 40 seconds
         gateway.receive_request()
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -42,7 +42,7 @@
 
 
 def test_a_retry_needs_capacity() -> None:
-    """Retries ignored the concurrency limit and kept a congested fleet congested."""
+    """Retries ignored the concurrency limit, so a congested fleet stayed congested."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     request_ids = [gateway.receive_request() for _ in range(4)]
     gateway.end_attempt(request_ids[0], Outcome.RESET)
