--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -27,7 +27,7 @@
 
 
 def test_an_unresponsive_endpoint_is_ejected_by_requests_that_may_not_be_retried() -> None:
-    """Non-idempotent attempts last until the deadline, and an unresponsive endpoint still got half of them."""
+    """Non-idempotent attempts last until the deadline; an unresponsive endpoint still got half of them."""
     gateway = GatewayModel(
         make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("good"), make_entry("silent")]
     )
