--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -112,7 +112,7 @@
 
 
 def test_requests_that_spill_over_go_to_endpoints_in_slow_start_too() -> None:
-    """Spillover sent nothing to a zone in slow start, even if the local zone was short of endpoints."""
+    """Spillover avoided a zone until its slow start ended, even if the local zone was short of endpoints."""
     gateway = GatewayModel(make_settings(zones=2), [make_entry("local"), make_entry("remote", zone=1)])
     serve_all_in_flight(gateway, 100, 20 * MS)
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("remote", zone=1, started_ns=gateway.now)])
