--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -22,7 +22,7 @@
 MIN_SUBSET_SIZE = 2
 """Minimum size of a gateway's subset: power of two choices needs two endpoints."""
 REBUILD_FACTOR = 8
-"""The lists are rebuilt as a whole if at least one in this many endpoints has changed."""
+"""All lists are rebuilt if at least one in this many endpoints has changed."""
 GOLDEN_RATIO = 0.6180339887498949
 """Multiples of it modulo 1 spread any number of gateways evenly over the ring."""
 
--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -20,7 +20,7 @@
 MAX_PUBLICATION_DELAY_NS = 10 * SECOND
 """Maximum time in ns from a start to its publication, if discovery was heard from just before."""
 MAX_UNLISTED_STARTS = 256
-"""Starts of unlisted endpoints that are kept beyond one per listed endpoint: an endpoint may return."""
+"""Starts of unlisted endpoints that are stored beyond one per listed endpoint: one may be listed again."""
 
 
 class _Start(NamedTuple):
@@ -45,7 +45,7 @@
         """Monotonic time at which discovery had last published everything it knew."""
 
     def __len__(self) -> int:
-        """Number of starts that are kept."""
+        """Number of stored starts."""
         return len(self._starts)
 
     def mark_up_to_date(self, now_ns: int) -> None:
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -73,7 +73,7 @@
         {"classes": (make_class(Idempotency.NON_IDEMPOTENT),)},
     ],
 )
-def test_change_of_an_immutable_setting_is_refused(changes: dict[str, Any]) -> None:
+def test_change_of_an_immutable_setting_raises_and_has_no_effect(changes: dict[str, Any]) -> None:
     before = make_settings()
     gateway = GatewayModel(before, [make_entry("h")])
     classes = gateway.balancer.classes
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -31,7 +31,7 @@
 def test_bad_request_fails_at_once_and_does_not_count_against_its_endpoint(
     idempotency: Idempotency,
 ) -> None:
-    """Guards against a retry after a 400 response, with which both endpoints were avoided for seconds."""
+    """Requests with a 400 response were sent to a second endpoint, and both were avoided for seconds."""
     gateway = GatewayModel(make_settings(make_class(idempotency)), make_entries(4))
     serve_one_by_one(gateway, 40, 20 * MS)
     request_id = gateway.receive_request()
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -11,7 +11,7 @@
 
 
 def test_requests_over_quota_are_rejected_first_while_the_pool_is_busy() -> None:
-    """Guards against a tenant far over its quota displacing others: its excess has little weight."""
+    """A tenant far over its quota must not displace others, as requests over quota have little weight."""
     tenants = (Tenant("over quota", quota_per_s=10.0), Tenant("within quota", quota_per_s=10.0))
     gateway = GatewayModel(
         make_settings(tenants=tenants, over_quota_weight=0.05), [make_entry("a"), make_entry("b")]
@@ -41,7 +41,7 @@
 
 
 def test_tenant_within_its_quota_may_send_short_bursts() -> None:
-    """Guards against a burst of one request, with which pairs that coincide by chance were over quota."""
+    """With a largest burst of one request, each pair that coincided by chance counted as over quota."""
     tenants = (Tenant("small", quota_per_s=10.0), Tenant("other", quota_per_s=10.0))
     gateway = GatewayModel(
         make_settings(tenants=tenants, over_quota_weight=0.1, replicas=20), make_entries(8)
@@ -85,7 +85,7 @@
     assert not gateway.violations
 
 
-def test_tenant_position_out_of_range_is_refused_without_changes() -> None:
+def test_tenant_position_out_of_range_raises_and_has_no_effect() -> None:
     gateway = GatewayModel(make_settings(tenants=(Tenant("a"),)), [make_entry("h")])
     with pytest.raises(ValueError, match="tenant 1 "):
         gateway.receive_request(tenant_index=1)
