--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -163,7 +163,7 @@
 
 
 def test_backoff_is_bounded_at_a_long_polling_interval() -> None:
-    """With an interval of one minute first calls were spread over 30 s, and failed ones repeated after 45 s."""
+    """At an interval of a minute first calls were spread over 30 s, and failed ones repeated after 45 s."""
     for outage in (UNREACHABLE, SILENT):
         models = [make_gateway(number, 60, number, interval_s=60) for number in range(60)]
         for model in models:
