--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -125,9 +125,7 @@
             self._record_error(400, "contradictory framing")
         elif any(value.lower() != b"chunked" for value in codings):
             self._record_error(400, "an unknown coding")
-        elif lengths and (
-            not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY
-        ):
+        elif lengths and (not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY):
             self._record_error(413, "a body too long")
         elif any(value.lower() == b"100-continue" for value in expectations):
             self._handler.on_expect_continue()
