--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -64,7 +64,7 @@
         self._server.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio
-        """Release everything held for the client, which can receive no more responses."""
+        """Release the state of a lost connection; its client can receive no more responses."""
         self._lifecycle.handle(ConnectionEvent.LOST)
         # Must come first: the code below may trigger responses on other connections, and these depend on the
         # number of open connections.
@@ -140,7 +140,7 @@
         try:
             self._server.route(exchange, request, self._earliest_arrival_ns)
         except Exception:  # the parser would report it as malformed input
-            log.exception("unexpected error while handling a request")
+            log.exception("a request could not be accepted due to an unexpected error")
             if exchange.response is None:
                 exchange.send_failure()
 
@@ -214,7 +214,7 @@
             return
         if self.is_between_requests():
             self._server.connections.mark_idle(self)
-        # Must come last: reading resumes only if the responses just written have made room in the queue.
+        # Must come last: reading resumes only if the responses just written have freed a slot in the queue.
         self._resume_reading()
 
     def sweep(self, now: int) -> None:
--- a/gateway/client/listener.py
+++ b/gateway/client/listener.py
@@ -124,5 +124,5 @@
         try:
             await self._loop.connect_accepted_socket(self._protocol_factory, accepted)
         except OSError as error:  # the connection broke after it was accepted
-            log.info("could not set up an accepted connection: %s", error)
+            log.info("an accepted connection could not be served: %s", error)
             accepted.close()
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -51,7 +51,7 @@
         self.error: InvalidRequestError | None = None
         """The first framing or limit violation; the handler receives no request after it."""
         self.is_upgrade = False
-        """Whether a request asked for a protocol upgrade: the parser stops there."""
+        """Whether a request wants a protocol upgrade: the parser stops there."""
         self.in_message = False
         """Whether a request is partly received."""
         self._handler = handler
--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -148,7 +148,7 @@
             exchange.respond(503, [], b"not ready\n")
 
     def _check_id_not_open(self, client_request: ClientRequest) -> None:
-        """Refuse an id that is already open: each of the two requests would be attempted and processed."""
+        """Reject an id that is already open, as two such requests would each be attempted and processed."""
         if client_request.request_id in self._open_request_ids:
             raise InvalidRequestError(400, "a request with this id is open", counter="id_in_use")
 
@@ -166,9 +166,9 @@
     def begin_shutdown(self) -> None:
         """Become not ready at once, and close idle connections that have received no valid request.
 
-        The other connections stay open for now: otherwise no gateway might serve while the front end
-        looks for another one, or while the gateway that stopped before is not back.  The cost is that
-        clients of a slow gateway stay with it for a second longer even if all other gateways are up.
+        The other connections stay open for now: otherwise no gateway might serve while the front end looks for
+        another one, or while the gateway that stopped before is not back.  The cost is that clients of a slow
+        gateway stay with it for a second longer even if all other gateways are up.
         """
         self.shutting_down = True
         self.connections.close_unvalidated(CloseReason.SHUTDOWN)
--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -80,7 +80,7 @@
 
 
 async def test_a_connection_whose_first_request_stalls_is_evicted() -> None:
-    """Guards against incomplete requests taking all slots: 148 of 174 requests of other clients failed."""
+    """Otherwise incomplete requests take all slots: 148 of 174 requests of other clients failed."""
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
         harness.gateway.server.max_connections = 3
@@ -93,7 +93,7 @@
         shift_wait_start(harness, FIRST_REQUEST_TIMEOUT_NS + MS)
         assert (await (await harness.client()).exchange(request(request_id="late")))[0] == 200
         assert await incomplete[0].reader.read() == b""
-        assert (await useful.exchange(request(request_id="r2")))[0] == 200  # idle, but kept as useful
+        assert (await useful.exchange(request(request_id="r2")))[0] == 200  # idle, but not evicted
         assert (await incomplete[1].exchange(b"\r\n"))[0] == 200
 
 
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -100,4 +100,4 @@
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: connection.reading.is_paused)
         connection.sweep(now_ns() + 2 * SECOND)
-        await wait_until(lambda: not harness.gateway.server.open_connections)  # not kept open by the pause
+        await wait_until(lambda: not harness.gateway.server.open_connections)  # closes despite the pause
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -112,7 +112,7 @@
 
 
 async def test_an_upgrade_whose_error_waits_for_a_sweep_gets_its_response() -> None:
-    """Guards against sending EOF before the deferred error is written, which made every sweep fail."""
+    """When EOF was sent before the deferred error was written, every sweep of the gateway failed."""
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
         client = await harness.client()
@@ -123,7 +123,7 @@
 
 
 async def test_an_upgrade_behind_an_open_request_gets_its_response_after_that() -> None:
-    """Guards against sending EOF while an earlier request is open, whose response was then lost."""
+    """When EOF was sent while an earlier request was open, its response could not be written."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint, make=Sends)
