--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -166,7 +166,7 @@
     def begin_shutdown(self) -> None:
         """Become not ready at once, and close idle connections that have received no valid request.
 
-        The other connections stay open for now: otherwise no gateway might serve while the front end looks for
+        The other connections stay open for now: or no gateway might serve while the front end looks for
         another one, or while the gateway that stopped before is not back.  The cost is that clients of a slow
         gateway stay with it for a second longer even if all other gateways are up.
         """
--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -80,7 +80,7 @@
 
 
 async def test_a_connection_whose_first_request_stalls_is_evicted() -> None:
-    """Otherwise incomplete requests take all slots: 148 of 174 requests of other clients failed."""
+    """Without eviction incomplete requests took all slots: 148 of 174 requests of other clients failed."""
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
         harness.gateway.server.max_connections = 3
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -249,7 +249,7 @@
 async def test_a_connection_that_comes_up_soon_after_the_close_is_not_used(
     close_client: CloseClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise it may carry a stale request: 0.17 s after the close three of four were still forwarded."""
+    """Without this check three of four requests were still forwarded 0.17 s after the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
