--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -51,7 +51,7 @@
         self.error: InvalidRequestError | None = None
         """The first framing or limit violation; the handler receives no request after it."""
         self.is_upgrade = False
-        """Whether a request asked for a protocol upgrade: the parser stops there."""
+        """Whether a request wants a protocol upgrade: the parser stops there."""
         self.in_message = False
         """Whether a request is partly received."""
         self._handler = handler
@@ -125,9 +125,7 @@
             self._record_error(400, "contradictory framing")
         elif any(value.lower() != b"chunked" for value in codings):
             self._record_error(400, "an unknown coding")
-        elif lengths and (
-            not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY
-        ):
+        elif lengths and (not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY):
             self._record_error(413, "a body too long")
         elif any(value.lower() == b"100-continue" for value in expectations):
             self._handler.on_expect_continue()
