--- a/gateway/discovery/response_reader.py
+++ b/gateway/discovery/response_reader.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, splits_lines: bool) -> None:
-        """`splits_lines`: return the body line by line as it arrives, not as a whole at its end."""
+        """`splits_lines`: return the body line by line as it arrives, not in one piece at its end."""
         self._splits_lines = splits_lines
         self._parser = httptools.HttpResponseParser(self)
         self._status = 0
--- a/gateway/upstream/endpoint.py
+++ b/gateway/upstream/endpoint.py
@@ -44,7 +44,7 @@
             self.close_idle()
 
     def accepts(self, connection: EndpointConnection) -> bool:
-        """Whether requests may be sent on this connection."""
+        """Whether this connection may carry requests."""
         return self.is_ready and connection.incarnation == self.incarnation
 
     def take_idle(self, now_ns: int) -> EndpointConnection | None:
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all endpoints, with a global limit, and the attempts sent on them."""
+"""The pool of connections to all endpoints, with a global limit, and the attempts in flight."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_endpoint_list_parser.py
+++ b/tests/gateway/test_endpoint_list_parser.py
@@ -40,7 +40,7 @@
         {"startedAtMs": -1},
     ],
 )
-def test_invalid_entry_is_dropped_and_the_others_are_kept(change: dict[str, Any]) -> None:
+def test_invalid_entry_is_dropped_and_the_others_are_used(change: dict[str, Any]) -> None:
     document = {"generation": 41, "instances": [{**ENTRY, **change}, {**ENTRY, "instanceId": "h1"}, None]}
     endpoints = make_parser().parse(document, SECOND).endpoints
     assert [endpoint.entry.endpoint_id for endpoint in endpoints] == ["h1"]
