--- a/gateway/discovery/errors.py
+++ b/gateway/discovery/errors.py
@@ -29,7 +29,7 @@
     """The connection could not be established."""
 
     def __init__(self, cause: OSError) -> None:
-        super().__init__(f"connecting failed: {cause}")
+        super().__init__(f"connection failed: {cause}")
 
 
 class ConnectionLostError(DiscoveryCallError):
