--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -82,7 +82,7 @@
         self.shutdown = GracefulShutdown(
             self.timers, self._listener, self.server, self.dispatcher, settings, self._close
         )
-        # `tenants` now holds the tenants; a second copy of a long list would only waste memory.
+        # `tenants` now holds the tenants; keeping a long list twice would only waste memory.
         configuration.settings = replace(settings, tenants=())
         configuration.rows = []
         self.configuration_reloader = ConfigurationReloader(
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -224,7 +224,7 @@
     await closed.wait()
     assert process.stderr is not None
     failures = 0
-    while failures < 12:  # each is a refused call of discovery, none a lack of descriptors
+    while failures < 12:  # discovery cannot be reached; descriptors do not run out
         line = (await process.stderr.readline()).decode()
         if " gateway.stats " in line:  # the summary line, once per second
             continue
@@ -253,7 +253,7 @@
 async def test_thirty_gateways_that_start_together_are_ready_at_the_first_health_check(
     tmp_path: Path,
 ) -> None:
-    """Each has a cached endpoint list and is ready without discovery, which refuses connections here."""
+    """Each has a cached endpoint list, with which it is ready even though discovery cannot be reached."""
     endpoint, discovery = await FakeEndpoint().start(), FakeDiscovery()
     discovery_socket = socket.socket()
     discovery_socket.bind(("127.0.0.1", 0))  # bound, but not listening
