--- a/gateway/control_plane.py
+++ b/gateway/control_plane.py
@@ -1,4 +1,4 @@
-"""The events and actions of a balancer that concern no client's request."""
+"""Events and actions of a balancer that do not belong to a client's request."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 
 log = logging.getLogger("gateway.control_plane")
 
-HEALTH_CHECK_TIMEOUT = 1000 * MS
-"""Time within which a health check needs its response, ns; the settings name none."""
+HEALTH_CHECK_TIMEOUT_NS = 1000 * MS
+"""Timeout of a health check, ns; there is no setting for it."""
 HEALTH_PATH = b"/health/live"
-LOAD_PATH = b"/stats"
-"""The path of health checks where the settings name columns of a load report: the body is such a report."""
+LOAD_REPORT_PATH = b"/stats"
+"""Path of health checks if the settings name load report columns: the response body is a load report."""
 
 
 class ControlPlane(ABC):
-    """Connects a balancer to discovery, its timers, its peers and health checks.
+    """Connects a balancer to discovery, timers, gossip peers and health checks.
 
-    `Dispatcher` adds the clients' requests, and with them all `Actions` of a balancer are there.
+    `Dispatcher` adds the handling of client requests, which completes the balancer's `Actions`.
     """
 
     balancer: EventHandler
@@ -54,24 +54,24 @@
         self._load_reports = LoadReportParser(load_report_columns, settings.load_report_fields)
         self.gossip_socket: GossipSocket | None = None
         self.has_endpoints = False
-        """Whether an endpoint list with an entry has come."""
+        """Whether an endpoint list with at least one entry has been received."""
 
     def attach(self, upstream: Upstream, discovery: Discovery) -> None:
-        """Name the sockets that the actions act on; called once, before the first event."""
+        """Set the targets of the actions on endpoints and discovery; called once, before the first event."""
         self.upstream = upstream
         self.discovery = discovery
 
     @abstractmethod
     def _on_balancer_failure(self, request: Request) -> None:
-        """The balancer has raised an exception in an event about this request."""
+        """Handle an exception that the balancer raised in an event for this request."""
 
     # ---- Events ----------------------------------------------------------------------------------
 
     def on_endpoint_list(self, kind: UpdateKind, listed: list[ListedEndpoint]) -> None:
-        """Discovery has sent a delta or a snapshot, or a call of it has failed.
+        """Handle a delta or a snapshot from discovery, or the failure of a discovery call.
 
-        The connections follow the list before the balancer does: what it sends on hearing of the list goes to
-        the endpoints as they are now.
+        Connections are updated before the balancer is notified, so that attempts that it starts in response
+        go to the current endpoints.
         """
         if kind is not UpdateKind.FAILED:
             self.upstream.apply_endpoint_list(kind is not UpdateKind.DELTA, listed)
@@ -80,49 +80,49 @@
         self._events.add(lambda now: self.balancer.on_endpoint_list(now, kind, entries))
 
     def on_timer(self, token: int) -> None:
-        """A timer of the balancer has expired."""
+        """Pass the expiry of one of the balancer's timers to the balancer."""
         self._events.add(lambda now: self.balancer.on_timer(now, token))
 
     def on_settings(self, settings: Settings) -> None:
-        """Other settings are in force; their tenants come by `on_tenants`."""
+        """Apply changed settings; changes of tenants are passed by `on_tenants`."""
         self._settings = settings
         self._events.add(lambda now: self.balancer.on_settings(now, settings))
 
     def on_tenants(self, changes: Sequence[tuple[int, Tenant]]) -> None:
-        """Tenants have changed, each with its slot."""
+        """Pass changed tenants, each with its slot, to the balancer."""
         self._events.add(lambda now: self.balancer.on_tenants(now, changes))
 
     def on_gossip(self, peer: int, content: bytes) -> None:
-        """A peer has sent a message."""
+        """Pass a gossip message from a peer to the balancer."""
         self._events.add(lambda now: self.balancer.on_gossip(now, peer, content))
 
     # ---- Actions ---------------------------------------------------------------------------------
 
     def set_timer(self, token: int, delay_ns: int) -> None:
-        """Have `on_timer` called with this token after the delay."""
-        self._timers.call_at(self._events.now + delay_ns, self.on_timer, token)
+        """Set a timer that calls `on_timer` with this token after the delay."""
+        self._timers.call_at(self._events.now_ns + delay_ns, self.on_timer, token)
 
     def watch_endpoints(self, active: bool) -> None:
-        """Watch discovery, or stop watching."""
+        """Start or stop the discovery watch."""
         self.discovery.watch(active)
 
     def fetch_endpoints(self) -> None:
-        """Have discovery send a snapshot of the endpoint list once."""
+        """Request one snapshot of the endpoint list from discovery."""
         self.discovery.fetch()
 
     def check_health(self, endpoint_id: EndpointId) -> None:
-        """Send a health check, where the settings allow it."""
+        """Send a health check to an endpoint if the settings allow health checks."""
         if not self._settings.limits.health_checks:
-            log.error("a health check that the settings do not allow")
+            log.error("dropped a health check: the settings do not allow health checks")
             return
-        path = LOAD_PATH if self._load_reports.columns else HEALTH_PATH
-        now = self._events.now
+        path = LOAD_REPORT_PATH if self._load_reports.columns else HEALTH_PATH
+        now = self._events.now_ns
         attempt = Attempt(
             endpoint_id,
             0,
             Payload(b"GET %b HTTP/1.1\r\nHost: host\r\n" % path, b""),
             now,
-            now + HEALTH_CHECK_TIMEOUT,
+            now + HEALTH_CHECK_TIMEOUT_NS,
             self._on_health_checked,
         )
         self._timers.call_at(attempt.deadline_ns, self._expire_attempt, attempt)
@@ -141,14 +141,14 @@
         self.upstream.close_idle_connections(endpoint_id)
 
     def send_gossip(self, peer: int | None, content: bytes) -> None:
-        """Send a datagram to one peer, or to all with None, where the settings allow it."""
+        """Send a gossip message to one peer, or to all peers for None, if the settings allow gossip."""
         if not self._settings.limits.gossip or self.gossip_socket is None:
-            log.error("a gossip message that the settings do not allow")
+            log.error("dropped a gossip message: the settings do not allow gossip")
         else:
             self.gossip_socket.send(peer, content)
 
     def log(self, text: str) -> None:
-        """Write a line of the balancer for whoever is on call."""
+        """Write a message of the balancer to the log, for the operator."""
         log.info("balancer: %s", text)
 
     def _expire_attempt(self, attempt: Attempt) -> None:
--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -1,7 +1,8 @@
-"""Connects a balancer to the sockets: hands it the events in order, and carries out its actions.
+"""Connects a balancer to the sockets: delivers events to it in order and executes its actions.
 
-Actions are called from inside an event.  They act on sockets at once, and what that causes waits in the event
-queue until the event is over.  No decision about balancing is taken here.
+The balancer calls actions while it handles an event.  They act on sockets immediately; events that they cause
+wait in the event queue until the current event has been handled.  This module makes no load balancing
+decisions.
 """
 
 from __future__ import annotations
@@ -34,19 +35,19 @@
 
 log = logging.getLogger("gateway.dispatcher")
 
-RESPONSE_MARGIN = 25 * MS
-"""The balancer gets so much less time than the client gives, ns: the response takes time to arrive."""
-BALANCER_MARGIN = 12 * MS
-"""So long before the client's deadline, ns, the gateway fails a request that the balancer has not ended."""
+RESPONSE_MARGIN_NS = 25 * MS
+"""Time subtracted from the client's timeout to get the balancer's, ns: the response takes time to arrive."""
+BALANCER_MARGIN_NS = 12 * MS
+"""Time before the client's deadline, ns, at which the gateway fails a request still open in the balancer."""
 
 BalancerFactory = Callable[[Settings, int, Actions], EventHandler]
-"""Makes a balancer from its settings, the seed of its random numbers, and what carries out its actions."""
+"""Creates a balancer from its settings, its random seed, and the object that executes its actions."""
 
 
 class Dispatcher(ControlPlane):
-    """One gateway's requests: the `Actions` of a balancer on real sockets.
+    """Manages the requests of one gateway; implements the balancer's `Actions` on real sockets.
 
-    The balancer gets every event but `on_response_started`: endpoints send no streamed responses.
+    The balancer gets every event except `on_response_started`, as endpoints send no streamed responses.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         max_requests: int = 1024,
         max_bytes: int = 64 << 20,
     ) -> None:
-        """At most `max_requests` requests are open, with payloads of `max_bytes` bytes together."""
+        """Allow at most `max_requests` open requests, whose payloads total at most `max_bytes` bytes."""
         super().__init__(settings, timers, load_report_columns)
         self.telemetry = Telemetry()
         self.requests = RequestTable(
@@ -67,14 +68,14 @@
         )
         self.balancer = make_balancer(settings, seed, self)
 
-    # ---- Events of clients -----------------------------------------------------------------------
+    # ---- Client events ---------------------------------------------------------------------------
 
     def accept_request(
         self, exchange: ClientExchange, client_request: ClientRequest, arrived_ns: int
     ) -> Request | None:
-        """Admit a client's request; its time runs from `arrived_ns`, the earliest that it may have come.
+        """Admit a client's request, whose timeout counts from `arrived_ns`, its earliest possible arrival.
 
-        None if its time is up or the request table is full, and it has been rejected.
+        Return None, after rejecting the request, if its timeout has expired or the request table is full.
         """
         now = now_ns()
         remaining_ns = client_request.timeout_ns - (now - arrived_ns)
@@ -85,9 +86,9 @@
             self._reject_unadmitted(exchange, GatewayReason.TABLE_FULL)
             return None
         self.telemetry.count(CounterName.ADMITTED)
-        # Of a short time the margins take a part only, or nothing would be left for an attempt.
-        timeout_ns = max(remaining_ns - RESPONSE_MARGIN, remaining_ns // 2)
-        last_response_ns = now + max(remaining_ns - BALANCER_MARGIN, remaining_ns * 3 // 4)
+        # The margins take at most a fraction of a short timeout, which would otherwise leave no attempt time.
+        timeout_ns = max(remaining_ns - RESPONSE_MARGIN_NS, remaining_ns // 2)
+        failure_deadline_ns = now + max(remaining_ns - BALANCER_MARGIN_NS, remaining_ns * 3 // 4)
         request = Request(
             self.requests.next_request_id(),
             exchange,
@@ -103,7 +104,7 @@
             ),
         )
         self.requests.add(request)
-        self._timers.call_at(last_response_ns, self._expire_request, request)
+        self._timers.call_at(failure_deadline_ns, self._expire_request, request)
         incoming = incoming_request(request.request_id, client_request, timeout_ns)
         self._events.add(lambda now: self.balancer.on_request(now, incoming), request)
         return request
@@ -113,7 +114,7 @@
         exchange.send_rejection(0)
 
     def on_client_gone(self, request: Request) -> None:
-        """The client has gone: its attempts are cancelled and nothing more is sent."""
+        """Handle a client that has disconnected: cancel its attempts and send nothing more."""
         if request.is_ended:
             return
         request.end()
@@ -122,58 +123,58 @@
         self.telemetry.count(CounterName.CLIENT_GONE, "overdue" if is_overdue else "")
         request.trace.note(now, Phase.CLIENT_GONE)
         self.telemetry.finish_trace(request.trace, is_overdue)
-        # The balancer comes first: it gets the cancelled attempts as those of a request that has ended.
+        # Queued before the attempts are cancelled, so that their results reach the balancer after the end.
         self._events.add(lambda now: self.balancer.on_client_gone(now, request.request_id), request)
-        self._finish(request)
+        self._clean_up(request)
 
     def on_client_half_closed(self, request: Request) -> None:
-        """The client has ended its sending.
+        """Handle a client that has sent EOF.
 
-        It may have gone or may wait for its response, which looks the same from here.  So it gets the
-        response of what is in flight, and nothing new is sent for it: an attempt that waits for its
-        connection is sent only if that comes up within the window for new attempts.
+        It may have disconnected or may still wait for its response; the gateway cannot tell which.  It
+        therefore gets the response of an attempt in flight, but no new attempt starts for it: one that waits
+        for its connection is sent only if that is established within the window for new attempts.
         """
         if request.is_ended:
             return
         request.begin_client_closing()
         request.trace.note(now_ns(), Phase.HALF_CLOSED)
         if not request.in_flight:
-            self._give_up(request, GatewayReason.CLIENT_CLOSING)
+            self._fail_request(request, GatewayReason.CLIENT_CLOSING)
         elif not request.has_attempt_on_open_connection():
-            self._timers.call_at(request.new_attempts_until, self._end_unsent, request)
+            self._timers.call_at(request.new_attempts_until_ns, self._fail_if_unsent, request)
 
-    def _end_unsent(self, request: Request) -> None:
+    def _fail_if_unsent(self, request: Request) -> None:
         if not request.is_ended and not request.has_attempt_on_open_connection():
-            self._give_up(request, GatewayReason.CLIENT_CLOSING)
+            self._fail_request(request, GatewayReason.CLIENT_CLOSING)
 
     def _expire_request(self, request: Request) -> None:
-        """The client's deadline is near, and the balancer has not ended the request by its own."""
+        """Fail a request that the balancer has not ended shortly before the client's deadline."""
         if not request.is_ended:
-            self._give_up(request, GatewayReason.BALANCER_TIMEOUT)
+            self._fail_request(request, GatewayReason.BALANCER_TIMEOUT)
 
     def open_requests(self) -> list[Request]:
-        """Requests that are owed a response, and those with attempts in flight."""
+        """Return requests that have no final response yet or still have attempts in flight."""
         return self.requests.requests()
 
     def fail_all(self) -> None:
-        """Fail every open request: the process must end now, and no client may be left without a response."""
+        """Fail every open request, so that each client gets a response before the process exits."""
         for request in self.open_requests():
-            self._give_up(request, GatewayReason.SHUTDOWN)
+            self._fail_request(request, GatewayReason.SHUTDOWN)
 
-    # ---- Ends of requests ------------------------------------------------------------------------
+    # ---- End of requests -------------------------------------------------------------------------
 
     def _on_balancer_failure(self, request: Request) -> None:
-        self._give_up(request, GatewayReason.BALANCER_ERROR)
+        self._fail_request(request, GatewayReason.BALANCER_ERROR)
 
-    def _give_up(self, request: Request, reason: GatewayReason) -> None:
-        """Fail a request in the balancer's place, and have the balancer forget it.
+    def _fail_request(self, request: Request, reason: GatewayReason) -> None:
+        """Fail a request on the gateway's own decision, and have the balancer remove it.
 
-        It fails rather than being rejected: only the balancer knows that nothing has been processed.
+        It is failed, not rejected, as only the balancer knows whether an endpoint may have processed it.
         """
         if not request.is_ended:
             self._send_failure(request, reason, reason is not GatewayReason.CLIENT_CLOSING)
             self._events.add(lambda now: self.balancer.on_client_gone(now, request.request_id))
-        self._finish(request)
+        self._clean_up(request)
 
     def _send_failure(
         self, request: Request, reason: EndReason | GatewayReason, is_abnormal: bool = False
@@ -184,35 +185,35 @@
     def _record_response(
         self, request: Request, counter: str, reason: str = "", is_abnormal: bool = False
     ) -> None:
-        """Count the final response of a request, and write the trace of one that ended abnormally."""
+        """Count the final response of a request, and write its trace if it ended abnormally."""
         now = now_ns()
         self.telemetry.count(counter, reason)
         request.trace.note(now, Phase.RESPONSE, f"{counter}.{reason}" if reason else counter)
         self.telemetry.finish_trace(request.trace, is_abnormal or request.trace.overdue(now))
 
-    def _finish(self, request: Request) -> None:
-        """Cancel what is still in flight for a request that has ended, and have it forgotten."""
+    def _clean_up(self, request: Request) -> None:
+        """Cancel the attempts in flight of a request, and have it removed once it has ended."""
         for attempt in list(request.in_flight.values()):
             self.upstream.cancel_attempt(attempt)
         if request.is_ended and not request.in_flight:
-            # Queued, as the event that is being handled may still name the request in an action.
-            self._events.add(lambda _: self._forget(request))
+            # Queued, as actions of the event that is being handled may still refer to the request.
+            self._events.add(lambda _: self._remove_if_idle(request))
 
-    def _forget(self, request: Request) -> None:
+    def _remove_if_idle(self, request: Request) -> None:
         if not request.in_flight:
             self.requests.remove(request)
 
     # ---- Attempts --------------------------------------------------------------------------------
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
-        """Start the next attempt of a request, within `timeout_ns` or, with 0, until its deadline."""
+        """Start the next attempt of a request; a `timeout_ns` of 0 means until the request's deadline."""
         request = self.requests.get(request_id)
         if request is None:
-            log.error("an attempt for request %d, which is not open", request_id)
+            log.error("dropped an attempt for request %d, which is not open", request_id)
             return
         number = request.attempts_started
         request.attempts_started += 1
-        now = self._events.now
+        now = self._events.now_ns
         deadline_ns = min(now + timeout_ns, request.deadline_ns) if timeout_ns else request.deadline_ns
         attempt = Attempt(
             endpoint_id,
@@ -230,7 +231,7 @@
         if not self._may_send(request, number):
             attempt.end(Outcome.NOT_SENT)
             return
-        # The timer comes first: an attempt that ends at once leaves one that expires without effect.
+        # Set before the start, as an attempt may end at once; the timer of an ended attempt has no effect.
         self._timers.call_at(deadline_ns, self._expire_attempt, attempt)
         self.upstream.start_attempt(attempt)
 
@@ -243,14 +244,14 @@
 
     @staticmethod
     def _may_start(request: Request) -> bool:
-        """Whether an attempt may start now; checked as it is sent and as its connection has come up.
+        """Whether an attempt may start now; checked on creation and when its connection is established.
 
-        Later than `new_attempts_until` this looks at the client's socket: a close may lie there unread,
-        because something else was read first or because reading is paused.
+        After `new_attempts_until_ns` this checks the client's socket, where an EOF may be unread, because
+        something else was read first or because reading is paused.
         """
         if request.is_ended:
             return False
-        if now_ns() < request.new_attempts_until:
+        if now_ns() < request.new_attempts_until_ns:
             return True
         if not request.client_closing and request.client_has_ended():
             request.begin_client_closing()
@@ -259,14 +260,14 @@
     def _on_attempt_ended(
         self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None
     ) -> None:
-        """An attempt has ended; the client gets its response before the balancer gets the result."""
+        """Handle the end of an attempt: the client gets its response before the balancer gets the result."""
         request.in_flight.pop(attempt.number, None)
         self.telemetry.count(CounterName.ATTEMPT, outcome.name.lower())
         request.trace.note(now_ns(), Phase.ATTEMPT_ENDED, outcome.name.lower())
         try:
             self._respond(request, response)
-        except Exception:  # else the balancer would count the attempt as in flight for ever
-            log.exception("a response could not be given")
+        except Exception:  # otherwise the balancer would count the attempt as in flight forever
+            log.exception("failed to send a response to the client")
         is_final = request.is_ended
         load_report = self._load_reports.read(attempt.load_report)
         result = AttemptResult(
@@ -280,10 +281,10 @@
         )
         self._events.add(lambda now: self.balancer.on_attempt_ended(now, result), request)
         if is_final:
-            self._finish(request)
+            self._clean_up(request)
 
     def _respond(self, request: Request, response: Response | None) -> None:
-        """Give the final response if an attempt's end decides it: the first that is served does."""
+        """Send the final response if the end of an attempt decides it: the first served response is final."""
         if request.is_ended:
             return
         if response is not None:
@@ -292,22 +293,22 @@
         elif request.client_closing and not request.in_flight:
             self._send_failure(request, GatewayReason.CLIENT_CLOSING)
 
-    # ---- Actions on requests ---------------------------------------------------------------------
+    # ---- Request actions -------------------------------------------------------------------------
 
     def fail(self, request_id: int, reason: EndReason) -> None:
-        """Give the final response: failed."""
+        """End a request with a failure as its final response."""
         request = self.requests.get(request_id)
         if request is not None and not request.is_ended:
             self._send_failure(request, reason)
-            self._finish(request)
+            self._clean_up(request)
 
     def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:
-        """Give the final response: rejected, with the balancer's advice when to come back."""
+        """End a request with a rejection as its final response, with the balancer's Retry-After advice."""
         request = self.requests.get(request_id)
         if request is not None and not request.is_ended:
             request.end().send_rejection(retry_after_ns)
             self._record_response(request, CounterName.REJECTED, reason.value)
-            self._finish(request)
+            self._clean_up(request)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
         """Cancel an attempt in flight."""
--- a/gateway/loop_monitor.py
+++ b/gateway/loop_monitor.py
@@ -1,8 +1,8 @@
-"""Notices event loop stalls, and knows how old what is read after one may be.
+"""Detects event loop stalls, and bounds the age of data that is read after one.
 
-Bytes that an event loop reads late look as if they had just come.  It stalls while the process is stopped,
-has used up its share of the processor, or works on something for long; what comes meanwhile lies in the
-sockets.  A heartbeat shows since when that may be so.
+Data that the event loop reads late looks as if it had just arrived.  The loop stalls while the process is
+stopped, has used up its CPU quota, or runs one callback for a long time; data that arrives meanwhile waits in
+the sockets.  The last heartbeat before a stall is the earliest time at which that data may have arrived.
 """
 
 from __future__ import annotations
@@ -13,67 +13,67 @@
 
 from .timers import Timers, now_ns
 
-__all__ = ["HEARTBEAT", "TOLERANCE", "LoopMonitor"]
+__all__ = ["HEARTBEAT_INTERVAL_NS", "HEARTBEAT_TOLERANCE_NS", "LoopMonitor"]
 
-HEARTBEAT = 20 * MS
-"""Time between two heartbeats, ns: the start of a stall is known to within so much."""
-TOLERANCE = 10 * MS
-"""A heartbeat that is late by less is no stall, ns: timers are rounded up to a millisecond, and a turn of the
-event loop that reads many connections takes some."""
-TURNS = 3
-"""Turns of the event loop after a late heartbeat in which old bytes may still be read: one finds the new
-connections, another reads what lay in them, and the loop may have stalled just before either."""
-BACKLOG_TIME = 100 * MS
-"""Time after a stall, ns, within which connections that came up in it have been accepted, turn after turn."""
+HEARTBEAT_INTERVAL_NS = 20 * MS
+"""Time between two heartbeats, ns; the start of a stall is known with this precision."""
+HEARTBEAT_TOLERANCE_NS = 10 * MS
+"""Delay of a heartbeat up to which it does not indicate a stall, ns: timers are rounded up to a millisecond,
+and an event loop iteration that reads many connections takes some milliseconds."""
+STALE_ITERATIONS = 3
+"""Event loop iterations after a late heartbeat in which old data may still be read: one accepts the new
+connections, another reads their data, and the loop may have stalled just before either."""
+MAX_BACKLOG_NS = 100 * MS
+"""Upper bound of the time, ns, that accepting the connections of a stall takes, over several iterations."""
 
 
 class LoopMonitor:
-    """The heartbeat of one event loop."""
+    """Measures the stalls of one event loop with a periodic heartbeat."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers) -> None:
         self._loop = loop
         self._timers = timers
-        self._last_heartbeat = now_ns()
-        self._backlog_from = 0  # since when connections that are accepted now may have waited, ns; 0 for now
-        self._backlog_until = 0  # no later than this, ns
-        self._turn = 0  # turns of the event loop since the late heartbeat
-        self._last_accept_turn = 0  # the latest of these in which a connection was accepted
-        timers.call_after(HEARTBEAT, self._on_heartbeat, None)
+        self._last_heartbeat_ns = now_ns()
+        self._backlog_from_ns = 0  # earliest connect time of connections accepted now, ns; 0 without a stall
+        self._backlog_until_ns = 0  # latest end of the use of `_backlog_from_ns`, ns
+        self._iterations = 0  # event loop iterations since the late heartbeat
+        self._last_accept_iteration = 0  # the last of these that accepted a connection
+        timers.call_after(HEARTBEAT_INTERVAL_NS, self._on_heartbeat, None)
 
     def earliest_arrival(self, now: int) -> int:
-        """The earliest time, ns, at which what is read at `now` may have come: `now`, but for a stall."""
-        late_ns = now - self._last_heartbeat - HEARTBEAT
-        return now if late_ns <= TOLERANCE else self._last_heartbeat
+        """Return the earliest possible arrival, ns, of data read at `now`: `now` unless after a stall."""
+        late_ns = now - self._last_heartbeat_ns - HEARTBEAT_INTERVAL_NS
+        return now if late_ns <= HEARTBEAT_TOLERANCE_NS else self._last_heartbeat_ns
 
     def earliest_connect(self, now: int) -> int:
-        """The earliest time, ns, at which a connection that is accepted at `now` may have come up."""
-        self._last_accept_turn = self._turn
-        return min(self._backlog_from or now, self.earliest_arrival(now))
+        """Return the earliest time, ns, at which a connection accepted at `now` may have been established."""
+        self._last_accept_iteration = self._iterations
+        return min(self._backlog_from_ns or now, self.earliest_arrival(now))
 
     def _on_heartbeat(self, _: None) -> None:
         now = now_ns()
         if self.earliest_arrival(now) == now:
-            self._resume(now)
+            self._restart_heartbeat(now)
             return
-        is_counting_turns = self._backlog_from != 0
-        self._backlog_from = self._backlog_from or self._last_heartbeat
-        self._backlog_until = now + BACKLOG_TIME
-        self._turn = self._last_accept_turn = 0
-        if not is_counting_turns:
-            self._loop.call_soon(self._on_turn)
+        is_counting_iterations = self._backlog_from_ns != 0
+        self._backlog_from_ns = self._backlog_from_ns or self._last_heartbeat_ns
+        self._backlog_until_ns = now + MAX_BACKLOG_NS
+        self._iterations = self._last_accept_iteration = 0
+        if not is_counting_iterations:
+            self._loop.call_soon(self._on_iteration)
 
-    def _on_turn(self) -> None:
-        """A turn of the event loop after a late heartbeat."""
+    def _on_iteration(self) -> None:
+        """Count an event loop iteration after a late heartbeat; end the stall once old data has been read."""
         now = now_ns()
-        self._turn += 1
-        if self._turn == TURNS:
-            self._resume(now)
-        is_quiet = self._turn - self._last_accept_turn >= TURNS
-        if self._turn >= TURNS and (is_quiet or now >= self._backlog_until):
-            self._backlog_from = 0
+        self._iterations += 1
+        if self._iterations == STALE_ITERATIONS:
+            self._restart_heartbeat(now)
+        is_backlog_empty = self._iterations - self._last_accept_iteration >= STALE_ITERATIONS
+        if self._iterations >= STALE_ITERATIONS and (is_backlog_empty or now >= self._backlog_until_ns):
+            self._backlog_from_ns = 0
         else:
-            self._loop.call_soon(self._on_turn)
+            self._loop.call_soon(self._on_iteration)
 
-    def _resume(self, now: int) -> None:
-        self._last_heartbeat = now
-        self._timers.call_after(HEARTBEAT, self._on_heartbeat, None)
+    def _restart_heartbeat(self, now: int) -> None:
+        self._last_heartbeat_ns = now
+        self._timers.call_after(HEARTBEAT_INTERVAL_NS, self._on_heartbeat, None)
--- a/gateway/request.py
+++ b/gateway/request.py
@@ -1,4 +1,4 @@
-"""A client's request inside the gateway: its states, and the client's side of it."""
+"""State of a client's request inside the gateway, and the interface to its client."""
 
 from __future__ import annotations
 
@@ -13,63 +13,63 @@
 
 __all__ = ["ClientExchange", "Request", "RequestState", "RequestStateError", "incoming_request"]
 
-NEW_ATTEMPT_WINDOW = 50 * MS
-"""Time after a request's arrival, ns, within which attempts start without a look at the client's socket.
+NEW_ATTEMPT_WINDOW_NS = 50 * MS
+"""Time after a request's arrival, ns, within which attempts start without checking the client's socket.
 
-Later ones need a client that has not ended its sending: the operators allow 0.1 s between a client's close
+A later attempt starts only if the client has not sent EOF: the operators allow 0.1 s between a client's close
 and the last attempt for it.
 """
 
 
 class ClientExchange(Protocol):
-    """The client's side of a request: exactly one of the `send` methods is called, once."""
+    """Interface to the client of one request: exactly one of the `send` methods is called, once."""
 
     @property
     def connection_number(self) -> int:
-        """The number of its connection, for the log."""
+        """Number of the client connection, for the log."""
 
     def client_has_ended(self) -> bool:
-        """Whether the client has ended its sending or gone, read or unread; costs a system call."""
+        """Whether the client has sent EOF or disconnected, read or unread; costs a system call."""
 
     def send_response(self, response: Response) -> None:
-        """Forward an endpoint's response."""
+        """Forward the response of an endpoint to the client."""
 
     def send_failure(self) -> None:
-        """Respond that the request has failed, with no promise about the effect."""
+        """Respond that the request has failed; an endpoint may have processed it."""
 
     def send_rejection(self, retry_after_ns: int) -> None:
-        """Respond that the request is rejected, so that sending it again is harmless."""
+        """Respond that the request is rejected: it was not processed and is safe to send again."""
 
 
 class RequestState(Enum):
-    """The states of a request.
+    """State of a request; the transitions are those below.
 
     OPEN -> CLIENT_CLOSING -> ENDED, or OPEN -> ENDED.
     """
 
     OPEN = "open"
-    """Its client is owed a response."""
+    """The client waits for its final response."""
     CLIENT_CLOSING = "client_closing"
-    """Its client has ended its sending: it may have gone, or may wait for its response.
+    """The client has sent EOF: it may have disconnected or may still wait for its response.
 
-    No attempt is added; one whose connection comes up in `NEW_ATTEMPT_WINDOW` is still sent.
+    No attempt is added; one whose connection is established within `NEW_ATTEMPT_WINDOW_NS` is still sent.
     """
     ENDED = "ended"
-    """The final response is given, or the client has gone."""
+    """The final response has been sent, or the client has disconnected."""
 
 
-# Members of an Enum cost more to look up, and every request looks for these.
+# Module constants, as the lookup of an Enum member is slower and every request needs these.
 _OPEN = RequestState.OPEN
 _CLIENT_CLOSING = RequestState.CLIENT_CLOSING
 _ENDED = RequestState.ENDED
 
 
 class RequestStateError(RuntimeError):
-    """A transition that the state of a request does not allow."""
+    """Raised for a transition that is not allowed in the state of a request."""
 
 
 class Request:
-    """A request, from its arrival until its response is given and its attempts have ended."""
+    """A client's request, from arrival until its final response is sent and all its attempts have ended."""
 
     __slots__ = (
         "_exchange",
@@ -77,7 +77,7 @@
         "deadline_ns",
         "in_flight",
         "is_ended",
-        "new_attempts_until",
+        "new_attempts_until_ns",
         "payload",
         "request_id",
         "state",
@@ -93,39 +93,39 @@
         deadline_ns: int,
         trace: Trace,
     ) -> None:
-        """`arrived_ns` and `deadline_ns` are on the monotonic clock."""
+        """Open a request; `arrived_ns` and `deadline_ns` are times of the monotonic clock."""
         self.request_id = request_id
-        # None once it has ended: timers refer to a request until they expire, and this to a connection.
+        # None once ended: timers refer to a request until they expire and must not retain the connection.
         self._exchange: ClientExchange | None = exchange
         self.payload = payload
-        self.new_attempts_until = arrived_ns + NEW_ATTEMPT_WINDOW
+        self.new_attempts_until_ns = arrived_ns + NEW_ATTEMPT_WINDOW_NS
         self.deadline_ns = deadline_ns
         self.trace = trace
         self.state = _OPEN
         self.is_ended = False
-        """Whether its client is owed no response; the same as the state ENDED, and quicker to look up."""
+        """Whether the state is ENDED; an attribute, as it is faster to read than the state."""
         self.attempts_started = 0
         self.in_flight: dict[int, Attempt] = {}
 
     @property
     def client_closing(self) -> bool:
-        """Whether its client is owed a response, but has ended its sending."""
+        """Whether the client has sent EOF while the final response is still to be sent."""
         return self.state is _CLIENT_CLOSING
 
     def client_has_ended(self) -> bool:
-        """Whether the client has ended its sending or gone, read or unread; costs a system call."""
+        """Whether the client has sent EOF or disconnected, read or unread; costs a system call."""
         return self._exchange is None or self._exchange.client_has_ended()
 
     def begin_client_closing(self) -> None:
-        """The client has ended its sending.  Raises RequestStateError for a request that has ended."""
+        """Record that the client has sent EOF; raises RequestStateError for a request that has ended."""
         if self.is_ended:
             raise RequestStateError(f"request {self.request_id} has ended")
         self.state = RequestState.CLIENT_CLOSING
 
     def end(self) -> ClientExchange:
-        """Nothing is owed any more but what the caller sends on the exchange that is returned.
+        """End the request and return its exchange, on which the caller may send the final response.
 
-        Raises RequestStateError for a request that has ended, so that a second response is impossible.
+        Raises RequestStateError for a request that has already ended, so that no second response can be sent.
         """
         exchange, self._exchange = self._exchange, None
         if exchange is None:
@@ -135,14 +135,14 @@
         return exchange
 
     def has_attempt_on_open_connection(self) -> bool:
-        """Whether an attempt in flight has a connection that is up, so that its sending has begun."""
+        """Whether an attempt in flight has an established connection, so that its sending has begun."""
         return any(
             attempt.connection is not None and attempt.connection.up() for attempt in self.in_flight.values()
         )
 
 
 def incoming_request(request_id: int, client_request: ClientRequest, timeout_ns: int) -> IncomingRequest:
-    """A client's request as the balancer gets it."""
+    """Return a client's request in the form that the balancer takes."""
     return IncomingRequest(
         request_id,
         client_request.class_index,
--- a/gateway/resource_budget.py
+++ b/gateway/resource_budget.py
@@ -1,4 +1,4 @@
-"""How a gateway divides the descriptors and the memory that it may use."""
+"""Division of a gateway's file descriptors and memory between their uses."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 __all__ = ["ResourceBudget"]
 
 RESERVED_DESCRIPTORS = 48
-"""Descriptors for everything that is neither a client's nor an endpoint's connection, such as the listener's
-socket, the calls of discovery, and connections that are accepted but do not count as open yet."""
+"""Descriptors for everything except client and endpoint connections, such as the listening socket, calls to
+discovery, and accepted connections that are not yet counted as open."""
 MIN_DESCRIPTORS = 16
-"""Descriptors for connections even where the limits leave fewer."""
+"""Lower bound of the descriptors for connections, used even if the limits leave fewer."""
 CLIENT_SHARE = 0.55
-"""Part of the descriptors for connections that clients may have: the endpoints' part stays free for them
-however many clients come."""
+"""Share of the connection descriptors that clients may use, so that any number of clients leaves the rest for
+endpoint connections."""
 PAYLOAD_SHARE = 0.25
-"""Part of the memory that the payloads of open requests may take."""
+"""Share of the memory that the payloads of open requests may use."""
 
 
 class ResourceBudget(NamedTuple):
-    """Limits of one gateway."""
+    """Limits on the connections, requests and payload bytes of one gateway."""
 
     client_connections: int
     endpoint_connections: int
     open_requests: int
     payload_bytes: int
-    """Of all open requests together."""
+    """Total for all open requests."""
 
     @classmethod
-    def divide(cls, max_sockets: int, max_memory: int) -> ResourceBudget:
-        """Divide what the configuration allows, as far as the process's own limit of descriptors does too.
+    def divide(cls, max_sockets: int, max_memory_bytes: int) -> ResourceBudget:
+        """Divide the configured resources, bounded by the descriptor limit of the process.
 
-        `max_memory` is in bytes.
+        The limit of the process is the soft limit of RLIMIT_NOFILE.
         """
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        allowed = min(max_sockets, soft_limit if soft_limit > 0 else max_sockets)
-        connections = max(MIN_DESCRIPTORS, allowed - RESERVED_DESCRIPTORS)
+        max_descriptors = min(max_sockets, soft_limit if soft_limit > 0 else max_sockets)
+        connections = max(MIN_DESCRIPTORS, max_descriptors - RESERVED_DESCRIPTORS)
         return cls(
             client_connections=int(connections * CLIENT_SHARE),
             endpoint_connections=int(connections * (1 - CLIENT_SHARE)),
             open_requests=connections,
-            payload_bytes=int(max_memory * PAYLOAD_SHARE),
+            payload_bytes=int(max_memory_bytes * PAYLOAD_SHARE),
         )
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -1,7 +1,7 @@
-"""Counters, request traces and the summary line that the log gets once a second.
+"""Counters, request traces and the summary line that is logged once a second.
 
-Everything here costs a dictionary update or a list append on the request path; lines are written only for
-requests that end abnormally and once a second for the gateway.
+On the request path each function costs a dictionary update or a list append.  Log lines are written only for
+requests that end abnormally, and once a second for the gateway.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 log = logging.getLogger("gateway.stats")
 trace_log = logging.getLogger("gateway.trace")
 
-SUMMARY_INTERVAL = 1 * SECOND
+SUMMARY_INTERVAL_NS = 1 * SECOND
 """Time between two summary lines, ns."""
 TRACES_PER_SUMMARY = 20
-"""Request traces written between two summary lines: a flood of failures must not become a flood of lines."""
-AGES_PER_SUMMARY = 16
-"""Reads between two summary lines whose bytes' age is looked up: each look costs a system call."""
-LAST_DATA_RECV = 52
+"""Maximum of request traces written between two summary lines, to bound the log if many requests fail."""
+AGE_SAMPLES_PER_SUMMARY = 16
+"""Maximum of reads between two summary lines whose data age is queried, as a query is a system call."""
+LAST_DATA_RECV_OFFSET = 52
 """Offset of `tcpi_last_data_recv` in Linux's `struct tcp_info` (linux/tcp.h): ms since data last arrived."""
 TRACE_VARIABLE = "EDGE_TRACE"
-"""Environment variable; with the value `all` every request is traced, without a limit."""
+"""Environment variable; its value `all` has every request traced, without a limit."""
 
 
 class Phase(Enum):
-    """What happened to a request, in the order in which it is noted."""
+    """Phases of a request as named in traces."""
 
     READ = "read"
     SENT = "sent"
@@ -46,194 +46,197 @@
 
 
 class GatewayReason(Enum):
-    """Why the gateway itself, not the balancer, ended a request."""
+    """Reasons for which the gateway itself, not the balancer, ended a request."""
 
     TABLE_FULL = "table_full"
     """The request table has no capacity for one more request, or for its bytes."""
     PIPELINE_FULL = "pipeline_full"
     """Too many requests are open on one connection."""
     LATE_READ = "late_read"
-    """Its time was up when it was read, and its client may have gone."""
+    """The client's timeout had expired when the request was read; the client may have disconnected."""
     NO_CONNECTION_SLOT = "no_connection_slot"
-    """Its connection is above the limit on connections."""
+    """Its connection exceeds the limit on client connections."""
     BALANCER_TIMEOUT = "balancer_timeout"
-    """The balancer had not ended it in time."""
+    """The balancer had not ended it shortly before the client's deadline."""
     CLIENT_CLOSING = "client_closing"
-    """The client has ended its sending, and nothing is in flight."""
+    """The client has sent EOF, and no attempt is in flight."""
     BALANCER_ERROR = "balancer_error"
     """The balancer raised an exception."""
     SHUTDOWN = "shutdown"
-    """The process had to end."""
+    """The process had to exit."""
 
 
 class CounterName:
-    """The counters of the summary line; each may have a detail, such as a reason, behind a dot.
+    """Names of the counters in the summary line; a detail such as a reason may follow after a dot.
 
-    Plain strings: members of an Enum cost more to look up, and every request counts several.
+    They are plain strings, as the lookup of an Enum member is slower and every request counts several.
     """
 
     ACCEPTED: Final = "accepted"
-    """Connections of clients."""
+    """Client connections accepted."""
     ADMITTED: Final = "admitted"
-    """Requests that the balancer got."""
+    """Requests passed to the balancer."""
     SERVED: Final = "served"
     REJECTED: Final = "rejected"
     FAILED: Final = "failed"
     CLIENT_GONE: Final = "client_gone"
-    """Requests whose client left first; `overdue` if that was after its deadline."""
+    """Requests whose client disconnected before the response; `overdue` if that was after its deadline."""
     ATTEMPT: Final = "attempt"
-    """Attempts that have ended, by outcome."""
+    """Ended attempts, by outcome."""
     RETRY: Final = "retry"
     INVALID: Final = "invalid"
-    """Requests that were answered with an error of the gateway's own."""
+    """Requests to which the gateway itself responded with an error."""
     CLOSED: Final = "closed"
-    """Connections of clients, by reason."""
+    """Client connections closed, by reason."""
     INCOMPLETE: Final = "incomplete"
-    """Connections that closed with a part of a request on them."""
+    """Client connections closed after a part of a request had been received."""
 
 
 class CloseReason(Enum):
-    """Why a client's connection was closed."""
+    """Reasons for which a client connection was closed."""
 
     BY_CLIENT = "by_client"
     IDLE = "idle"
     EVICTED = "evicted"
-    """Closed for a newer connection."""
+    """Closed to free a slot for a newer connection."""
     OVER_LIMIT = "over_limit"
-    """So many connections were open that not even a rejection was sent."""
+    """Closed without a rejection, as too many connections were open even for that."""
     AFTER_RESPONSE = "after_response"
-    """Closed some time after the last response on it, so that the client could read that."""
+    """Closed some time after its last response, so that the client could read it."""
     SLOW_READER = "slow_reader"
     HALF_CLOSED = "half_closed"
-    """The client had ended its sending, and all responses are given."""
+    """The client had sent EOF, and all responses have been sent."""
     SHUTDOWN = "shutdown"
 
 
 class _Step(NamedTuple):
-    """One entry of a trace."""
+    """One step of a request trace."""
 
     at_ns: int
     phase: Phase
     detail: str
-    """With whom, or why."""
+    """Endpoint, outcome or reason."""
 
 
 class Trace:
-    """What happened to one request, for the log line of a request that ends abnormally."""
+    """Records the steps of one request, for the log line of a request that ends abnormally."""
 
-    __slots__ = ("_arrived_ns", "_steps", "client_id", "connection_number", "timeout_ns")
+    __slots__ = ("_arrived_ns", "_steps", "client_request_id", "connection_number", "timeout_ns")
 
     def __init__(
-        self, client_id: bytes, connection_number: int, timeout_ns: int, arrived_ns: int, now: int
+        self, client_request_id: bytes, connection_number: int, timeout_ns: int, arrived_ns: int, now: int
     ) -> None:
-        """`client_id` is the X-Request-ID, `timeout_ns` the client's time from `arrived_ns` on."""
-        self.client_id = client_id
+        """Begin a trace; `client_request_id` is the X-Request-ID, `timeout_ns` counts from `arrived_ns`."""
+        self.client_request_id = client_request_id
         self.connection_number = connection_number
         self.timeout_ns = timeout_ns
         self._arrived_ns = arrived_ns
         self._steps = [_Step(now, Phase.READ, "")]
 
     def note(self, now: int, phase: Phase, detail: str = "") -> None:
-        """Add a step."""
+        """Add a step to the trace."""
         self._steps.append(_Step(now, phase, detail))
 
     def overdue(self, now: int) -> bool:
-        """Whether the client's time is up."""
+        """Whether the client's timeout has expired."""
         return now - self._arrived_ns > self.timeout_ns
 
     def line(self) -> str:
-        """The trace on one line; times are milliseconds since the arrival, as far as that is known."""
-        steps = " ".join(map(self._word, self._steps))
-        client_id = _as_text(self.client_id)
+        """Return the trace as one log line; times are milliseconds since the earliest possible arrival."""
+        steps = " ".join(map(self._format_step, self._steps))
+        client_request_id = _decode(self.client_request_id)
         return (
-            f"request id={client_id} connection={self.connection_number} "
+            f"request id={client_request_id} connection={self.connection_number} "
             f"timeout_ms={self.timeout_ns // MS} {steps}"
         )
 
-    def _word(self, step: _Step) -> str:
+    def _format_step(self, step: _Step) -> str:
         name = f"{step.phase.value}:{step.detail}" if step.detail else step.phase.value
         return f"{name}@{(step.at_ns - self._arrived_ns) / MS:.1f}"
 
 
 class Telemetry:
-    """The counters of one gateway since the last summary line."""
+    """Collects the counters of one gateway between summary lines, and writes summaries and traces."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, str]] = Counter()
         self._max_lag_ns = 0
-        self._traces = 0
-        self._ages_looked_up = 0
+        self._trace_count = 0
+        self._age_samples = 0
         self._max_age_ms = 0
         self._cpu_ns = time.process_time_ns()
         self._next_summary_ns = 0
         self._trace_all = os.environ.get(TRACE_VARIABLE) == "all"
 
     def count(self, name: str, detail: str = "") -> None:
-        """One more event: a `CounterName`, and its reason or outcome."""
+        """Increment a counter, a `CounterName`, for a reason or outcome if any."""
         self._counts[name, detail] += 1
 
     def note_lag(self, late_ns: int) -> None:
-        """A timer has expired so late; the longest lag between two summary lines is reported."""
+        """Record how late a timer expired; the summary line reports the longest lag in its interval."""
         self._max_lag_ns = max(self._max_lag_ns, late_ns)
 
     def note_read(self, sock: socket.socket) -> None:
-        """Bytes of a client have been read: for some of them, how long they had lain in the socket."""
-        if self._ages_looked_up < AGES_PER_SUMMARY:
-            self._ages_looked_up += 1
+        """Record, for a sample of client reads, how long the data had waited unread in the socket."""
+        if self._age_samples < AGE_SAMPLES_PER_SUMMARY:
+            self._age_samples += 1
             try:
-                info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV + 4)
-                age_ms: int = struct.unpack_from("I", info, LAST_DATA_RECV)[0]
+                info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
+                age_ms: int = struct.unpack_from("I", info, LAST_DATA_RECV_OFFSET)[0]
             except (OSError, struct.error):
-                return  # no TCP, or a system without this field
+                return  # no TCP socket, or a system without this field
             self._max_age_ms = max(self._max_age_ms, age_ms)
 
-    def finish_trace(self, trace: Trace, abnormal: bool) -> None:
-        """A request is over; the trace of an abnormal one is written."""
-        if not abnormal and not self._trace_all:
+    def finish_trace(self, trace: Trace, is_abnormal: bool) -> None:
+        """Write the trace of an ended request if it ended abnormally or if all requests are traced."""
+        if not is_abnormal and not self._trace_all:
             return
-        self._traces += 1
-        if self._traces <= TRACES_PER_SUMMARY or self._trace_all:
+        self._trace_count += 1
+        if self._trace_count <= TRACES_PER_SUMMARY or self._trace_all:
             trace_log.info("%s", trace.line())
 
-    def count_invalid_request(self, connection: int, client_id: bytes, reason: str) -> None:
-        """A request has been answered with an error of the gateway's own."""
+    def count_invalid_request(self, connection: int, client_request_id: bytes, reason: str) -> None:
+        """Count a request to which the gateway itself responded with an error."""
         self.count(CounterName.INVALID, reason)
         if self._trace_all:
             trace_log.info(
-                "invalid_request id=%s connection=%d reason=%s", _as_text(client_id), connection, reason
+                "invalid_request id=%s connection=%d reason=%s",
+                _decode(client_request_id),
+                connection,
+                reason,
             )
 
-    def count_closed_connection(self, connection: int, reason: CloseReason, unfinished: bool) -> None:
-        """A client's connection is closed; `unfinished`: a part of a request had come on it."""
+    def count_closed_connection(self, connection: int, reason: CloseReason, is_incomplete: bool) -> None:
+        """Count a closed client connection; `is_incomplete`: a part of a request had been received on it."""
         self.count(CounterName.CLOSED, reason.value)
-        if unfinished:
+        if is_incomplete:
             self.count(CounterName.INCOMPLETE)
         if self._trace_all:
             trace_log.info(
-                "closed connection=%d reason=%s incomplete=%d", connection, reason.value, unfinished
+                "closed connection=%d reason=%s incomplete=%d", connection, reason.value, is_incomplete
             )
 
     def write_summary(self, now: int, **gauges: int) -> None:
-        """Write the summary line if it is due; `gauges` are present values, such as open connections."""
+        """Write the summary line if it is due; `gauges` are current values, such as open connections."""
         if now < self._next_summary_ns:
             return
-        self._next_summary_ns = now + SUMMARY_INTERVAL
+        self._next_summary_ns = now + SUMMARY_INTERVAL_NS
         cpu_ns = time.process_time_ns()
-        figures = {
+        fields = {
             "cpu_ms": (cpu_ns - self._cpu_ns) // MS,
             "lag_ms": self._max_lag_ns // MS,
             "unread_ms": self._max_age_ms,
             **gauges,
         }
         for (name, detail), count in self._counts.items():
-            figures[f"{name}.{detail}" if detail else name] = count
-        if self._traces > TRACES_PER_SUMMARY and not self._trace_all:
-            figures["traces_dropped"] = self._traces - TRACES_PER_SUMMARY
+            fields[f"{name}.{detail}" if detail else name] = count
+        if self._trace_count > TRACES_PER_SUMMARY and not self._trace_all:
+            fields["traces_dropped"] = self._trace_count - TRACES_PER_SUMMARY
         self._cpu_ns = cpu_ns
-        self._max_lag_ns = self._traces = self._ages_looked_up = self._max_age_ms = 0
+        self._max_lag_ns = self._trace_count = self._age_samples = self._max_age_ms = 0
         self._counts.clear()
-        log.info("%s", " ".join(f"{name}={value}" for name, value in figures.items()))
+        log.info("%s", " ".join(f"{name}={value}" for name, value in fields.items()))
 
 
-def _as_text(client_id: bytes) -> str:
-    return client_id.decode("ascii", "replace")
+def _decode(client_request_id: bytes) -> str:
+    return client_request_id.decode("ascii", "replace")
--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -10,69 +10,70 @@
 
 from balancer import MS, SECOND
 
-__all__ = ["LATE", "Timers", "now_ns"]
+__all__ = ["STALL_THRESHOLD_NS", "Timers", "now_ns"]
 
-LATE = 5 * MS
-"""An expiry so late, ns, shows an event loop stall: what has come meanwhile is read before timers expire."""
-READ_DELAY = 1 * MS
-"""Delay of a late expiry, ns: long enough for the event loop to read first."""
+STALL_THRESHOLD_NS = 5 * MS
+"""Lag of an expiry, ns, above which the event loop has stalled: it then reads before timers expire."""
+READ_DELAY_NS = 1 * MS
+"""Delay of a late expiry, ns, long enough for the event loop to read from its sockets first."""
 
 Argument = TypeVar("Argument")
 
 
 class Timers:
-    """Calls at monotonic times, from one heap behind one timer of the event loop; none expires early.
+    """Calls functions at monotonic times, never early, from one heap behind one timer of the event loop.
 
-    The one timer spares the loop's own heap: a request sets some timers, and none of them is cancelled.
+    The single timer keeps the event loop's own heap small, as every request sets several timers and none of
+    them is cancelled.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        # The count keeps timers of one time in the order in which they were set.
+        # The count makes timers with the same time expire in the order in which they were set.
         self._heap: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self._count = 0
-        self._armed: asyncio.TimerHandle | None = None
-        self._armed_for = 0
-        self._has_read = False  # the event loop has had a turn since an expiry was found late
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_due_ns = 0
+        self._is_delayed = False  # a late expiry was delayed, so that the event loop reads first
         self.on_late: Callable[[int], None] | None = None
-        """Called at each expiry with how late it is, ns."""
+        """Called at each expiry with its lag, ns."""
 
-    def call_after(self, delay_ns: int, call: Callable[[Argument], None], argument: Argument) -> None:
-        """Call once so much time has passed."""
-        self.call_at(now_ns() + delay_ns, call, argument)
+    def call_after(self, delay_ns: int, callback: Callable[[Argument], None], argument: Argument) -> None:
+        """Call `callback` once after a delay."""
+        self.call_at(now_ns() + delay_ns, callback, argument)
 
-    def call_at(self, due_ns: int, call: Callable[[Argument], None], argument: Argument) -> None:
-        """Call at this time.  A timer can't be cancelled: its callee knows by the argument what is over."""
+    def call_at(self, due_ns: int, callback: Callable[[Argument], None], argument: Argument) -> None:
+        """Call `callback` once at a time; it cannot be cancelled, so it must check whether it still applies."""
         self._count += 1
-        heappush(self._heap, (due_ns, self._count, call, argument))
-        if self._armed is None or due_ns < self._armed_for:
+        heappush(self._heap, (due_ns, self._count, callback, argument))
+        if self._loop_timer is None or due_ns < self._loop_timer_due_ns:
             self._arm()
 
     def _arm(self) -> None:
-        if self._armed is not None:
-            self._armed.cancel()
-        self._armed_for = self._heap[0][0]
-        wait_ns = max(0, self._armed_for - now_ns())
-        wait_ms = -(-wait_ns // MS)  # the loop counts in milliseconds: rounded up, or it would expire early
-        self._armed = self._loop.call_later(wait_ms / 1000, self._expire)
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer_due_ns = self._heap[0][0]
+        wait_ns = max(0, self._loop_timer_due_ns - now_ns())
+        wait_ms = -(-wait_ns // MS)  # milliseconds as in the loop, rounded up so that none expires early
+        self._loop_timer = self._loop.call_later(wait_ms / 1000, self._expire)
 
     def _expire(self) -> None:
-        self._armed = None
+        self._loop_timer = None
         heap, now = self._heap, now_ns()
-        late_ns = now - self._armed_for
+        lag_ns = now - self._loop_timer_due_ns
         if self.on_late is not None:
-            self.on_late(late_ns)
-        if late_ns > LATE and not self._has_read:
-            # The event loop expires timers before it reads: an attempt would time out though its response
-            # lies in its socket.
-            self._has_read = True
-            self._armed = self._loop.call_later(READ_DELAY / SECOND, self._expire)
+            self.on_late(lag_ns)
+        if lag_ns > STALL_THRESHOLD_NS and not self._is_delayed:
+            # The event loop expires timers before it reads, so that an attempt whose response waits in the
+            # socket would time out.
+            self._is_delayed = True
+            self._loop_timer = self._loop.call_later(READ_DELAY_NS / SECOND, self._expire)
             return
-        self._has_read = False
+        self._is_delayed = False
         try:
             while heap and heap[0][0] <= now:
-                _, _, call, argument = heappop(heap)
-                call(argument)
+                _, _, callback, argument = heappop(heap)
+                callback(argument)
         finally:
-            if heap and self._armed is None:
+            if heap and self._loop_timer is None:
                 self._arm()
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Client side, dispatcher and endpoint side over loopback sockets: exactly one response to a request."""
+"""Tests of the dispatcher over loopback sockets: each request gets exactly one response."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     Stub,
 )
 
-STALL = 900 * MS
-"""A busy machine may stop for so long, ns: the verdict must not depend on it."""
+STALL_ALLOWANCE_NS = 900 * MS
+"""Time for which a busy machine may stop the process, ns; the test must not fail because of it."""
 
 
 async def test_a_half_closed_client_gets_its_response() -> None:
@@ -44,58 +44,58 @@
         assert await client.reader.read() == b""
 
 
-async def test_no_attempt_begins_for_a_half_closed_client() -> None:
+async def test_no_attempt_starts_for_a_half_closed_client() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint)
         client = await harness.client()
         client.send(request())
-        seen = await endpoint.received.get()
+        received = await endpoint.received.get()
         client.writer.write_eof()
         await wait_until(
             lambda: all(item.client_closing for item in harness.gateway.dispatcher.open_requests())
         )
-        seen.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+        received.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
         assert (await client.response())[0] == 502
         assert endpoint.received.empty()
 
 
-async def test_the_attempts_of_a_client_that_has_gone_are_cancelled() -> None:
+async def test_the_attempts_of_a_disconnected_client_are_cancelled() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint)
         client = await harness.client()
         client.send(request())
-        seen = await endpoint.received.get()
+        received = await endpoint.received.get()
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
-        await seen.closed()
+        await received.closed()
         assert not harness.gateway.dispatcher.open_requests()
 
 
 @pytest.mark.parametrize(
-    ("balancer", "status", "advice"),
+    ("balancer", "status", "retry_after"),
     [
         (Rejects, 503, "1.250"),
         (Fails, 502, None),
         (Raises, 502, None),
         (RaisesLater, 200, None),
-        (Stub, 502, None),  # it never responds: the gateway does, before the client's deadline
+        (Stub, 502, None),  # never responds, so the gateway does before the client's deadline
     ],
 )
 async def test_exactly_one_response_whatever_the_balancer_does(
-    balancer: type[Stub], status: int, advice: str | None
+    balancer: type[Stub], status: int, retry_after: str | None
 ) -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint(), make=balancer)
-        client, begun = await harness.client(), now_ns()
-        got, headers, _ = await client.exchange(request(X_Timeout_Ms="1000"))
-        assert (got, headers.get("retry-after")) == (status, advice)
-        assert now_ns() - begun < 1000 * MS + STALL
+        client, started_ns = await harness.client(), now_ns()
+        got_status, headers, _ = await client.exchange(request(X_Timeout_Ms="1000"))
+        assert (got_status, headers.get("retry-after")) == (status, retry_after)
+        assert now_ns() - started_ns < 1000 * MS + STALL_ALLOWANCE_NS
         assert (await client.exchange(request(request_id="r2", X_Timeout_Ms="1000")))[
             0
-        ] == status  # and none of the first in between
+        ] == status  # and no second response to the first request
         assert not harness.gateway.dispatcher.open_requests()
 
 
@@ -112,13 +112,13 @@
         assert not harness.gateway.dispatcher.open_requests()
 
 
-async def test_no_attempt_begins_after_the_response_and_no_event_is_nested() -> None:
+async def test_no_attempt_starts_after_the_response_and_no_event_is_nested() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         balancers: list[SendsAfterItsResponse] = []
 
-        def make(settings: Settings, salt: int, actions: Actions) -> Any:
-            balancers.append(SendsAfterItsResponse(settings, salt, actions))
+        def make(settings: Settings, seed: int, actions: Actions) -> Any:
+            balancers.append(SendsAfterItsResponse(settings, seed, actions))
             return balancers[0]
 
         await harness.begin(endpoint, make=make)
@@ -131,7 +131,7 @@
 
 
 class ChecksHealth(Stub):
-    """Checks health at each request and sends the result to itself by gossip, which starts the attempt."""
+    """Sends a health check for each request and its result to itself by gossip, which starts the attempt."""
 
     def act(self, request_id: int) -> None:
         self.request_id = request_id
@@ -153,13 +153,13 @@
         endpoint = FakeEndpoint(reply=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
-            own = f"127.0.0.1:{free.getsockname()[1]}"
+            gossip_address = f"127.0.0.1:{free.getsockname()[1]}"
         settings = {
             **SETTINGS,
             "caps": {**SETTINGS["caps"], "probes": True, "peers": True},
             "load-report": {"source": "on_probe", "columns": ["outstanding"]},
         }
-        overrides = {"peer_listen": own, "peers": [own], "settings": settings}
+        overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
         await harness.begin(endpoint, make=ChecksHealth, configuration=overrides)
         assert (await (await harness.client()).exchange(request()))[0] == 200
         assert (await endpoint.received.get()).first == "GET /stats HTTP/1.1"
@@ -174,8 +174,8 @@
         assert endpoint.connections == 0
 
 
-def live_objects() -> int:
-    """Connections and exchanges that are not freed."""
+def count_live_objects() -> int:
+    """Return the number of connections and exchanges that have not been freed."""
     return sum(
         isinstance(item, ClientConnection | EndpointConnection | Exchange) for item in gc.get_objects()
     )
@@ -186,7 +186,7 @@
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
         gc.collect()
-        before = live_objects()  # of tests before this one
+        before = count_live_objects()  # left by earlier tests
         gc.disable()
         try:
             for number in range(30):
@@ -195,21 +195,21 @@
                 client.writer.close()
             harness.gateway.upstream.close()
             await wait_until(lambda: not harness.gateway.server.open_connections)
-            await wait_until(lambda: live_objects() <= before, lambda: asyncio.sleep(0.1))
+            await wait_until(lambda: count_live_objects() <= before, lambda: asyncio.sleep(0.1))
         finally:
             gc.enable()
 
 
 @pytest.mark.parametrize("text", ["9" * 400, "1e999", "-1", "NaN", "1e30", "[]", '"x"', "null"])
-def test_an_absurd_load_report_does_not_reach_the_balancer(text: str) -> None:
+def test_an_invalid_load_report_does_not_reach_the_balancer(text: str) -> None:
     assert LoadReportParser(["outstanding"], ["inflight"]).read(b'{"outstanding": %b}' % text.encode()) == ()
 
 
 class RecordsOutcomes(Sends):
-    """Sends one attempt for each request, and puts the outcomes of attempts into a queue."""
+    """Sends one attempt per request, and queues the outcomes of attempts."""
 
-    def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
-        super().__init__(settings, salt, actions)
+    def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
+        super().__init__(settings, seed, actions)
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
@@ -221,8 +221,8 @@
 ) -> None:
     balancers: list[RecordsOutcomes] = []
 
-    def make(settings: Settings, salt: int, actions: Actions) -> Any:
-        balancers.append(RecordsOutcomes(settings, salt, actions))
+    def make(settings: Settings, seed: int, actions: Actions) -> Any:
+        balancers.append(RecordsOutcomes(settings, seed, actions))
         return balancers[0]
 
     async with GatewayHarness() as harness:
@@ -242,9 +242,9 @@
         dispatcher.requests.max_bytes = 100_000
         first, second = await harness.client(), await harness.client()
         first.send(request("once", body=b"x" * 60_000))
-        seen = await endpoint.received.get()
+        received = await endpoint.received.get()
         assert (await second.exchange(request("once", request_id="r2", body=b"x" * 60_000)))[0] == 503
-        seen.reply()
+        received.reply()
         assert (await first.response())[0] == 200
         await wait_until(lambda: not dispatcher.open_requests())
         assert dispatcher.requests.open_bytes == 0
--- a/tests/gateway/test_event_loop_stalls.py
+++ b/tests/gateway/test_event_loop_stalls.py
@@ -1,4 +1,4 @@
-"""After an event loop stall a gateway knows that what it reads may be old; on real processes."""
+"""Tests that a gateway process treats data read after an event loop stall as possibly old."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 import pytest
 
 from balancer import MS
-from gateway.loop_monitor import HEARTBEAT, TOLERANCE, LoopMonitor
+from gateway.loop_monitor import HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOLERANCE_NS, LoopMonitor
 from gateway.timers import Timers, now_ns
 from tests.support.loopback import Client, FakeDiscovery, FakeEndpoint, request, wait_until
 from tests.support.processes import connect, launch, write_config
 
 STALL_S = 0.5
 SHORT_TIMEOUT_MS = 300
-"""Less than the stall."""
+"""Request timeout that is shorter than the stall."""
 
 
 async def wait_until_stopped(pid: int) -> None:
@@ -30,7 +30,7 @@
 async def gateway(
     path: Path,
 ) -> AsyncGenerator[tuple[asyncio.subprocess.Process, FakeEndpoint, Client, tuple[str, int]]]:
-    """A gateway process with one endpoint, and a connection that has been served."""
+    """Run a gateway process with one endpoint, and a client connection on which a request has been served."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(path, discovery, endpoint)
     program, address = await launch(path)
@@ -44,13 +44,13 @@
         await program.wait()
 
 
-@pytest.mark.parametrize("new", [False, True], ids=["open", "new"])
-async def test_a_request_that_expired_in_a_stall_is_not_forwarded(new: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("is_new", [False, True], ids=["open", "new"])
+async def test_a_request_that_expired_in_a_stall_is_not_forwarded(is_new: bool, tmp_path: Path) -> None:
     async with gateway(tmp_path / "c") as (program, endpoint, client, address):
         program.send_signal(signal.SIGSTOP)
         await wait_until_stopped(program.pid)
         sender = client
-        if new:  # the kernel completes it; the gateway has yet to accept it
+        if is_new:  # the kernel establishes the connection; the gateway has not accepted it yet
             sender = await connect(address)
         sender.send(request(request_id="old", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
@@ -63,20 +63,20 @@
 
 
 async def test_expired_requests_on_connections_in_the_backlog_are_not_forwarded(tmp_path: Path) -> None:
-    """They are accepted some at a time, over several turns of the event loop."""
+    """The connections are accepted in parts, over several event loop iterations."""
     async with gateway(tmp_path / "c") as (program, endpoint, _, address):
         program.send_signal(signal.SIGSTOP)
         await wait_until_stopped(program.pid)
         clients = [await connect(address) for _ in range(60)]
-        for number, waiting in enumerate(clients):
-            waiting.send(request(request_id=f"old{number}", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
+        for number, waiting_client in enumerate(clients):
+            waiting_client.send(request(request_id=f"old{number}", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
         program.send_signal(signal.SIGCONT)
-        assert [(await waiting.response())[0] for waiting in clients] == [503] * 60
+        assert [(await waiting_client.response())[0] for waiting_client in clients] == [503] * 60
         assert endpoint.received.empty()
 
 
-async def test_an_endpoint_gets_the_time_that_is_left_after_a_stall(tmp_path: Path) -> None:
+async def test_an_endpoint_gets_the_remaining_timeout_after_a_stall(tmp_path: Path) -> None:
     async with gateway(tmp_path / "c") as (program, endpoint, client, _):
         program.send_signal(signal.SIGSTOP)
         await wait_until_stopped(program.pid)
@@ -88,18 +88,18 @@
         assert timeout_ms <= 5000 - 1000 * STALL_S
 
 
-@pytest.mark.parametrize("new", [False, True], ids=["open", "new"])
+@pytest.mark.parametrize("is_new", [False, True], ids=["open", "new"])
 async def test_a_request_that_is_read_together_with_its_close_is_not_forwarded(
-    new: bool, tmp_path: Path
+    is_new: bool, tmp_path: Path
 ) -> None:
     async with gateway(tmp_path / "c") as (program, endpoint, client, address):
         program.send_signal(signal.SIGSTOP)
         await wait_until_stopped(program.pid)
-        leaving = await connect(address) if new else client
-        leaving.send(request(request_id="left"))
-        await leaving.writer.drain()
-        leaving.writer.close()
-        await leaving.writer.wait_closed()
+        closing_client = await connect(address) if is_new else client
+        closing_client.send(request(request_id="left"))
+        await closing_client.writer.drain()
+        closing_client.writer.close()
+        await closing_client.writer.wait_closed()
         await asyncio.sleep(STALL_S)
         program.send_signal(signal.SIGCONT)
         other = await connect(address)
@@ -108,22 +108,22 @@
         assert endpoint.received.empty()
 
 
-async def test_what_is_read_in_the_turns_after_a_stall_may_be_as_old_as_the_stall(
+async def test_data_read_in_the_iterations_after_a_stall_may_be_as_old_as_the_stall(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """New connections are found in one turn of the event loop and read in a later one."""
+    """New connections are accepted in one event loop iteration and read in a later one."""
     loop = asyncio.get_running_loop()
-    shift = 0
+    offset_ns = 0
     for module in ("timers", "loop_monitor"):
-        monkeypatch.setattr(f"gateway.{module}.now_ns", lambda: now_ns() + shift)
+        monkeypatch.setattr(f"gateway.{module}.now_ns", lambda: now_ns() + offset_ns)
     monitor = LoopMonitor(loop, Timers(loop))
-    begun = now_ns()
-    assert monitor.earliest_arrival(begun) == begun
-    shift = 10 * HEARTBEAT  # the event loop stalls
+    started_ns = now_ns()
+    assert monitor.earliest_arrival(started_ns) == started_ns
+    offset_ns = 10 * HEARTBEAT_INTERVAL_NS  # the event loop stalls
     for _ in range(2):
-        await asyncio.sleep(0)  # a turn of the event loop
-        now = now_ns() + shift
-        assert begun - MS <= monitor.earliest_arrival(now) <= begun
-    await wait_until(lambda: monitor.earliest_arrival(now_ns() + shift) > begun + shift)
-    later = now_ns() + shift + HEARTBEAT + TOLERANCE + MS
+        await asyncio.sleep(0)  # one event loop iteration
+        now = now_ns() + offset_ns
+        assert started_ns - MS <= monitor.earliest_arrival(now) <= started_ns
+    await wait_until(lambda: monitor.earliest_arrival(now_ns() + offset_ns) > started_ns + offset_ns)
+    later = now_ns() + offset_ns + HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS + MS
     assert monitor.earliest_arrival(later) < later
--- a/tests/gateway/test_request.py
+++ b/tests/gateway/test_request.py
@@ -1,4 +1,4 @@
-"""The states of a request, and the limits of the request table."""
+"""Tests of the states of a request, and of the limits of the request table."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeExchange:
-    """A client that has not ended its sending."""
+    """An exchange whose client has not sent EOF; responses are dropped."""
 
     connection_number = 1
 
@@ -20,22 +20,22 @@
         return False
 
     def send_response(self, response: Response) -> None:
-        """Nothing."""
+        """Drop the response."""
 
     def send_failure(self) -> None:
-        """Nothing."""
+        """Drop the failure."""
 
     def send_rejection(self, retry_after_ns: int) -> None:
-        """Nothing."""
+        """Drop the rejection."""
 
 
-def open_request(request_id: int = 1, body: bytes = b"") -> Request:
+def make_open_request(request_id: int = 1, body: bytes = b"") -> Request:
     trace = Trace(b"r1", 1, 100 * MS, 0, 0)
     return Request(request_id, FakeExchange(), Payload(b"", body), 0, 100 * MS, trace)
 
 
 def test_a_request_ends_once() -> None:
-    request = open_request()
+    request = make_open_request()
     assert request.state is RequestState.OPEN
     request.end()
     assert request.is_ended
@@ -43,8 +43,8 @@
         request.end()
 
 
-def test_a_client_can_close_more_than_once_but_not_after_the_end() -> None:
-    request = open_request()
+def test_a_client_close_can_be_recorded_repeatedly_but_not_after_the_end() -> None:
+    request = make_open_request()
     request.begin_client_closing()
     request.begin_client_closing()
     assert request.client_closing
@@ -56,16 +56,16 @@
 
 def test_the_table_is_full_by_count_or_by_bytes() -> None:
     table = RequestTable(max_requests=2, max_bytes=100)
-    table.add(open_request(1, bytes(60)))
+    table.add(make_open_request(1, bytes(60)))
     assert table.has_capacity(40)
     assert not table.has_capacity(41)
-    table.add(open_request(2))
+    table.add(make_open_request(2))
     assert not table.has_capacity(0)
 
 
-def test_a_removed_request_gives_its_bytes_back_once() -> None:
+def test_a_removed_request_releases_its_bytes_once() -> None:
     table = RequestTable(max_requests=2, max_bytes=100)
-    request = open_request(1, bytes(60))
+    request = make_open_request(1, bytes(60))
     table.add(request)
     table.remove(request)
     table.remove(request)
@@ -74,7 +74,7 @@
     assert table.requests() == []
 
 
-def test_request_numbers_begin_anew_after_32_bits() -> None:
+def test_request_ids_wrap_around_after_32_bits() -> None:
     table = RequestTable(max_requests=2, max_bytes=100)
     table.last_request_id = MAX_REQUEST_ID - 1
     assert [table.next_request_id() for _ in range(2)] == [MAX_REQUEST_ID, 0]
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -1,4 +1,4 @@
-"""The log of the gateway: traces of requests that end abnormally, and the summary line."""
+"""Tests of the gateway's log: traces of requests that end abnormally, and the summary line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.loopback import FakeEndpoint, GatewayHarness, request, wait_until
 
 
-def _figures(line: str) -> dict[str, str]:
+def _fields(line: str) -> dict[str, str]:
     return dict(part.split("=") for part in line.split())
 
 
@@ -35,10 +35,10 @@
 def test_a_flood_of_failures_writes_a_bounded_number_of_lines(caplog: pytest.LogCaptureFixture) -> None:
     telemetry = Telemetry()
     for _ in range(5 * TRACES_PER_SUMMARY):
-        telemetry.finish_trace(Trace(b"r", 1, MS, 0, 0), abnormal=True)
+        telemetry.finish_trace(Trace(b"r", 1, MS, 0, 0), is_abnormal=True)
     assert len(caplog.records) == TRACES_PER_SUMMARY
     telemetry.write_summary(SECOND)
-    assert _figures(caplog.messages[-1])["traces_dropped"] == str(4 * TRACES_PER_SUMMARY)
+    assert _fields(caplog.messages[-1])["traces_dropped"] == str(4 * TRACES_PER_SUMMARY)
 
 
 def test_the_summary_has_counts_since_the_last_one(caplog: pytest.LogCaptureFixture) -> None:
@@ -49,7 +49,7 @@
     telemetry.write_summary(SECOND, open_requests=3)
     telemetry.write_summary(SECOND + SECOND // 2)
     telemetry.write_summary(2 * SECOND)
-    first, second = map(_figures, caplog.messages)
+    first, second = map(_fields, caplog.messages)
     assert (first["rejected.table_full"], first["lag_ms"], first["open_requests"]) == ("2", "12", "3")
     assert "rejected.table_full" not in second
     assert second["lag_ms"] == "0"
@@ -57,26 +57,26 @@
 
 def test_the_age_of_unread_bytes_is_in_the_summary(caplog: pytest.LogCaptureFixture) -> None:
     telemetry = Telemetry()
-    ours, theirs = socket.socketpair()
-    telemetry.note_read(ours)  # no TCP: there is no age
+    local, remote = socket.socketpair()
+    telemetry.note_read(local)  # not a TCP socket, so it has no age
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as client,
     ):
         accepted, _ = listener.accept()
         client.send(b"x")
-        age = 0
-        while age < 40:  # it grows until it is read
+        age_ms = 0
+        while age_ms < 40:  # the age grows until the data is read
             telemetry.note_read(accepted)
             telemetry.write_summary(0)
-            age = int(_figures(caplog.messages[-1])["unread_ms"])
+            age_ms = int(_fields(caplog.messages[-1])["unread_ms"])
             telemetry = Telemetry()
-    for sock in (ours, theirs, accepted):
+    for sock in (local, remote, accepted):
         sock.close()
 
 
 async def test_a_request_whose_client_left_in_time_is_not_traced(caplog: pytest.LogCaptureFixture) -> None:
-    """It comes behind one that the balancer ends before its deadline, on the same connection."""
+    """The request follows one on the same connection that the balancer ended before its deadline."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.begin(endpoint)
--- a/tests/gateway/test_timers.py
+++ b/tests/gateway/test_timers.py
@@ -1,4 +1,4 @@
-"""The timers on an event loop of the kind that the gateway has."""
+"""Tests of timers on an asyncio event loop."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from collections.abc import Callable
 
 from balancer import MS
-from gateway.timers import LATE, Timers, now_ns
+from gateway.timers import STALL_THRESHOLD_NS, Timers, now_ns
 
 
 class Reader(asyncio.Protocol):
-    """Calls back when something is read."""
+    """Calls a function when data is read."""
 
     def __init__(self, on_read: Callable[[], None]) -> None:
         self._on_read = on_read
 
     def data_received(self, data: bytes) -> None:  # noqa: ARG002 - the name is asyncio's
-        """Something has been read."""
+        """Call the function given at construction."""
         self._on_read()
 
 
-async def test_what_came_in_an_event_loop_stall_is_read_before_timers_expire() -> None:
-    """Stopped for 150 ms, a gateway timed out attempts whose responses lay in its sockets."""
+async def test_data_received_in_an_event_loop_stall_is_read_before_timers_expire() -> None:
+    """Covers a gateway stopped for 150 ms that timed out attempts whose responses waited in its sockets."""
     loop, order, expired = asyncio.get_running_loop(), list[str](), asyncio.Event()
     timers = Timers(loop)
     (stall_reader, stall_writer), (reader, writer) = socket.socketpair(), socket.socketpair()
 
     def stall() -> None:
-        due = now_ns() + MS
-        timers.call_at(due, order.append, "timer")
-        timers.call_at(due, lambda _: expired.set(), None)
-        while now_ns() <= due + 2 * LATE:
+        due_ns = now_ns() + MS
+        timers.call_at(due_ns, order.append, "timer")
+        timers.call_at(due_ns, lambda _: expired.set(), None)
+        while now_ns() <= due_ns + 2 * STALL_THRESHOLD_NS:
             pass
         writer.send(b"response")
 
