--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -86,7 +86,7 @@
             self._reject_unadmitted(exchange, GatewayReason.TABLE_FULL)
             return None
         self.telemetry.count(CounterName.ADMITTED)
-        # The margins take at most a fraction of a short timeout, which would otherwise leave no attempt time.
+        # The margins take at most a fraction of a short timeout, so that time for an attempt remains.
         timeout_ns = max(remaining_ns - RESPONSE_MARGIN_NS, remaining_ns // 2)
         failure_deadline_ns = now + max(remaining_ns - BALANCER_MARGIN_NS, remaining_ns * 3 // 4)
         request = Request(
@@ -119,11 +119,11 @@
             return
         request.end()
         now = now_ns()
-        is_overdue = request.trace.overdue(now)
+        is_overdue = request.trace.is_overdue(now)
         self.telemetry.count(CounterName.CLIENT_GONE, "overdue" if is_overdue else "")
-        request.trace.note(now, Phase.CLIENT_GONE)
+        request.trace.add_step(now, Phase.CLIENT_GONE)
         self.telemetry.finish_trace(request.trace, is_overdue)
-        # Queued before the attempts are cancelled, so that their results reach the balancer after the end.
+        # Queued before the attempts are cancelled, whose results then follow the end of the request.
         self._events.add(lambda now: self.balancer.on_client_gone(now, request.request_id), request)
         self._clean_up(request)
 
@@ -137,7 +137,7 @@
         if request.is_ended:
             return
         request.begin_client_closing()
-        request.trace.note(now_ns(), Phase.HALF_CLOSED)
+        request.trace.add_step(now_ns(), Phase.HALF_CLOSED)
         if not request.in_flight:
             self._fail_request(request, GatewayReason.CLIENT_CLOSING)
         elif not request.has_attempt_on_open_connection():
@@ -188,8 +188,8 @@
         """Count the final response of a request, and write its trace if it ended abnormally."""
         now = now_ns()
         self.telemetry.count(counter, reason)
-        request.trace.note(now, Phase.RESPONSE, f"{counter}.{reason}" if reason else counter)
-        self.telemetry.finish_trace(request.trace, is_abnormal or request.trace.overdue(now))
+        request.trace.add_step(now, Phase.RESPONSE, f"{counter}.{reason}" if reason else counter)
+        self.telemetry.finish_trace(request.trace, is_abnormal or request.trace.is_overdue(now))
 
     def _clean_up(self, request: Request) -> None:
         """Cancel the attempts in flight of a request, and have it removed once it has ended."""
@@ -225,7 +225,7 @@
             lambda: self._may_start(request),
         )
         request.in_flight[number] = attempt
-        request.trace.note(now, Phase.SENT, str(endpoint_id))
+        request.trace.add_step(now, Phase.SENT, str(endpoint_id))
         if number:
             self.telemetry.count(CounterName.RETRY)
         if not self._may_send(request, number):
@@ -263,7 +263,7 @@
         """Handle the end of an attempt: the client gets its response before the balancer gets the result."""
         request.in_flight.pop(attempt.number, None)
         self.telemetry.count(CounterName.ATTEMPT, outcome.name.lower())
-        request.trace.note(now_ns(), Phase.ATTEMPT_ENDED, outcome.name.lower())
+        request.trace.add_step(now_ns(), Phase.ATTEMPT_ENDED, outcome.name.lower())
         try:
             self._respond(request, response)
         except Exception:  # otherwise the balancer would count the attempt as in flight forever
--- a/gateway/request.py
+++ b/gateway/request.py
@@ -42,7 +42,7 @@
 
 
 class RequestState(Enum):
-    """State of a request; the transitions are those below.
+    """State of a request; only the transitions below are allowed.
 
     OPEN -> CLIENT_CLOSING -> ENDED, or OPEN -> ENDED.
     """
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -133,11 +133,11 @@
         self._arrived_ns = arrived_ns
         self._steps = [_Step(now, Phase.READ, "")]
 
-    def note(self, now: int, phase: Phase, detail: str = "") -> None:
+    def add_step(self, now: int, phase: Phase, detail: str = "") -> None:
         """Add a step to the trace."""
         self._steps.append(_Step(now, phase, detail))
 
-    def overdue(self, now: int) -> bool:
+    def is_overdue(self, now: int) -> bool:
         """Whether the client's timeout has expired."""
         return now - self._arrived_ns > self.timeout_ns
 
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -118,7 +118,7 @@
 
 
 async def test_requests_above_a_quota_use_other_zones_that_are_idle() -> None:
-    """Covers requests above a quota rejected despite idle zones: half of them with one gateway of two gone."""
+    """Covers rejections above a quota despite idle zones: half of all after one of two gateways left."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
         quotas: dict[str, Any] = {
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -23,13 +23,13 @@
 
 def test_a_trace_names_the_request_and_each_step_with_its_time() -> None:
     trace = Trace(b"9b1f", 7, 100 * MS, SECOND, SECOND)
-    trace.note(SECOND + 3 * MS, Phase.SENT, "h0")
-    trace.note(SECOND + 120 * MS, Phase.CLIENT_GONE)
+    trace.add_step(SECOND + 3 * MS, Phase.SENT, "h0")
+    trace.add_step(SECOND + 120 * MS, Phase.CLIENT_GONE)
     assert trace.line() == (
         "request id=9b1f connection=7 timeout_ms=100 read@0.0 sent:h0@3.0 client_gone@120.0"
     )
-    assert trace.overdue(SECOND + 101 * MS)
-    assert not trace.overdue(SECOND + 99 * MS)
+    assert trace.is_overdue(SECOND + 101 * MS)
+    assert not trace.is_overdue(SECOND + 99 * MS)
 
 
 def test_a_flood_of_failures_writes_a_bounded_number_of_lines(caplog: pytest.LogCaptureFixture) -> None:
