--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -43,7 +43,7 @@
         self.call_at(now_ns() + delay_ns, callback, argument)
 
     def call_at(self, due_ns: int, callback: Callable[[Argument], None], argument: Argument) -> None:
-        """Call `callback` once at `due_ns`.  A timer cannot be cancelled: the callback ignores what has ended."""
+        """Call `callback` once at `due_ns`.  As it cannot be cancelled, it checks if it still applies."""
         self._count += 1
         heappush(self._heap, (due_ns, self._count, callback, argument))
         if self._loop_timer is None or due_ns < self._loop_timer_due_ns:
