--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test modules share."""
+"""Fakes, harnesses and builders that several test modules share."""
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""A `Discovery` by itself, for tests: the server that it calls, and the updates that it brings."""
+"""Harness for tests of `Discovery` alone: a fake discovery server, and a queue of the endpoint list updates."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
     "weight": 1.5,
     "startedAtMs": 2000,
 }
-"""An entry as discovery words it, of the zones a and b and the machine types m1 and m2."""
+"""An entry of the endpoint list in the JSON form of discovery; the parser knows zones a, b and types m1, m2."""
 CACHED_GENERATION = 41
 
 
 def address_of(server: FakeDiscovery) -> tuple[str, int]:
-    """Where a server listens."""
+    """Return the host and the port on which a server listens."""
     host, _, port = server.address.rpartition(":")
     return host, int(port)
 
 
 class RecordingTimers(Timers):
-    """Timers that note the delays that were requested, ns."""
+    """Timers that record each requested delay, ns."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
@@ -45,7 +45,7 @@
 
 
 class DiscoveryHarness:
-    """A `Discovery` with a cached list of one entry, and its server."""
+    """A `Discovery` with a cached list of one entry, and the fake server that it calls."""
 
     def __init__(self, server: FakeDiscovery, is_pushed: bool) -> None:
         loop = asyncio.get_running_loop()
@@ -64,7 +64,7 @@
 
     @classmethod
     async def start(cls, is_pushed: bool = False) -> DiscoveryHarness:
-        """Start a server, and a `Discovery` that has its cached list."""
+        """Start a server and a `Discovery` that has loaded its cached list."""
         harness = cls(await FakeDiscovery().start(), is_pushed)
         harness.discovery.load_cached_list(
             {"generation": CACHED_GENERATION, "reset": True, "instances": [ENTRY]}
--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -1,4 +1,4 @@
-"""Means to control in a test which of several events the gateway handles first."""
+"""Control, for tests of race conditions, over which of several events the gateway handles first."""
 
 from __future__ import annotations
 
@@ -19,81 +19,85 @@
 
 
 class BlockingClient:
-    """A client without an event loop: what it does has happened when the call returns."""
+    """A client on a blocking socket, without an event loop: each action is complete when its call returns."""
 
-    def __init__(self, where: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(where)
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.sock = socket.create_connection(address)
 
     def close(self) -> None:
         """Close the connection."""
         self.sock.close()
 
     def half_close(self) -> None:
-        """End the sending."""
+        """Shut down the sending side of the connection."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 class CapturedTimers:
-    """Records the balancer's timers, so that a test can have them expire before anything else is read."""
+    """Captures the balancer's timers, so that a test can make one expire before the gateway reads any socket."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, timers: Timers) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, timers: Timers) -> None:
         self._call_at = timers.call_at
-        self._calls: dict[int, Callable[[int], None]] = {}
-        patch.setattr(timers, "call_at", self.call_at)
+        self._callbacks: dict[int, Callable[[int], None]] = {}
+        monkeypatch.setattr(timers, "call_at", self.call_at)
 
-    def call_at(self, due_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        if isinstance(argument, int):  # a token of the balancer: the gateway's own timers carry objects
-            self._calls[argument] = call
+    def call_at(self, due_ns: int, callback: Callable[[Any], None], argument: Any) -> None:
+        if isinstance(argument, int):  # a balancer's timer token; the gateway's own timers pass objects
+            self._callbacks[argument] = callback
         else:
-            self._call_at(due_ns, call, argument)
+            self._call_at(due_ns, callback, argument)
 
     def expire(self, token: int) -> None:
-        """Call what waits for the timer with this token."""
-        self._calls[token](token)
+        """Call the callback of the timer with this token."""
+        self._callbacks[token](token)
 
 
 class DelayedConnects:
-    """Delays the loop's connections to an endpoint until a test lets them begin."""
+    """Delays the event loop's connection attempts to an endpoint until a test sets `may_begin`."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
         self._create_connection = loop.create_connection
         self._address = endpoint.address
         self.was_called = asyncio.Event()
         self.may_begin = asyncio.Event()
-        patch.setattr(loop, "create_connection", self.create_connection)
+        monkeypatch.setattr(loop, "create_connection", self.create_connection)
 
-    async def create_connection(self, make: ProtocolFactory, host: str, port: int, **options: Any) -> Any:
+    async def create_connection(
+        self, protocol_factory: ProtocolFactory, host: str, port: int, **options: Any
+    ) -> Any:
         if f"{host}:{port}" == self._address:
             self.was_called.set()
             await self.may_begin.wait()
-        return await self._create_connection(make, host, port, **options)
+        return await self._create_connection(protocol_factory, host, port, **options)
 
 
 class UnreportedConnects:
-    """Connects to an endpoint at once, but a gateway's connection is reported up only when a test says so."""
+    """Connects to an endpoint at once, but calls the gateway's `connection_made` only when a test calls `report`."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
         self._create_connection = loop.create_connection
         self._address = endpoint.address
         self.connected: asyncio.Queue[tuple[asyncio.Protocol, asyncio.Transport]] = asyncio.Queue()
-        patch.setattr(loop, "create_connection", self.create_connection)
+        monkeypatch.setattr(loop, "create_connection", self.create_connection)
 
-    async def create_connection(self, make: ProtocolFactory, host: str, port: int, **options: Any) -> Any:
+    async def create_connection(
+        self, protocol_factory: ProtocolFactory, host: str, port: int, **options: Any
+    ) -> Any:
         if f"{host}:{port}" != self._address:
-            return await self._create_connection(make, host, port, **options)
+            return await self._create_connection(protocol_factory, host, port, **options)
         transport, _ = await self._create_connection(asyncio.Protocol, host, port, **options)
-        self.connected.put_nowait((make(), transport))
+        self.connected.put_nowait((protocol_factory(), transport))
         return None
 
     @staticmethod
     def report(protocol: asyncio.Protocol, transport: asyncio.Transport) -> None:
-        """Tell a gateway's protocol that its connection is up."""
+        """Report to a protocol of the gateway that its connection is established."""
         transport.set_protocol(protocol)
         protocol.connection_made(transport)
--- a/tests/support/failing_system_calls.c
+++ b/tests/support/failing_system_calls.c
@@ -1,10 +1,9 @@
-/* Makes system calls of a program fail now and then, for tests: preloaded with LD_PRELOAD.
+/* Injects faults into system calls of a program under test; loaded with LD_PRELOAD.
  *
- * FAULTS names them, as call:fault:period, parted by commas: every period-th call that would
- * have been made fails with that error (accept, socket, connect, epoll, read, write), or moves
- * one byte only (read, write: SHORT).  The count is of calls, so that the same calls fail in
- * each run.  Reads and writes are those of
- * TCP sockets.
+ * FAULTS is a list of call:fault:period, separated by commas.  Every period-th call of accept,
+ * socket, connect, epoll, read or write fails with the error `fault`; with SHORT, a read or
+ * write transfers one byte only.  Faults depend on the number of calls, not on time or chance,
+ * so that the same calls fail in each run.  Reads and writes count on TCP sockets only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,7 +18,7 @@
 #include <unistd.h>
 
 #define SHORT (-1)
-#define MOST 16
+#define MAX_FAULTS 16
 
 struct fault {
     char call[16];
@@ -28,8 +27,8 @@
     long calls;
 };
 
-static struct fault faults[MOST];
-static int count = -1;
+static struct fault faults[MAX_FAULTS];
+static int fault_count = -1; /* -1: FAULTS is not parsed yet */
 
 static const struct { const char *name; int error; } errors[] = {
     {"ECONNABORTED", ECONNABORTED}, {"ENFILE", ENFILE}, {"EMFILE", EMFILE}, {"ENOBUFS", ENOBUFS},
@@ -38,12 +37,12 @@
     {"EPIPE", EPIPE}, {"EAGAIN", EAGAIN}, {"SHORT", SHORT},
 };
 
-static void load(void) {
+static void parse_faults(void) {
     const char *text = getenv("FAULTS");
-    count = 0;
-    while (text && *text && count < MOST) {
+    fault_count = 0;
+    while (text && *text && fault_count < MAX_FAULTS) {
         char name[16];
-        struct fault *fault = &faults[count];
+        struct fault *fault = &faults[fault_count];
         if (sscanf(text, "%15[a-z]:%15[A-Z]:%ld", fault->call, name, &fault->period) != 3)
             abort();
         fault->error = 0;
@@ -52,33 +51,33 @@
                 fault->error = errors[i].error;
         if (!fault->error || fault->period < 1)
             abort();
-        count++;
+        fault_count++;
         text = strchr(text, ',');
         if (text)
             text++;
     }
 }
 
-/* The fault of this call: an error, SHORT, or 0 for none. */
-static int fails(const char *call) {
-    if (count < 0)
-        load();
-    for (int i = 0; i < count; i++)
+/* Counts this call and returns its fault: an errno value, SHORT, or 0 for none. */
+static int next_fault(const char *call) {
+    if (fault_count < 0)
+        parse_faults();
+    for (int i = 0; i < fault_count; i++)
         if (!strcmp(faults[i].call, call) && ++faults[i].calls % faults[i].period == 0)
             return faults[i].error;
     return 0;
 }
 
-static int is_socket(int fd) {
-    int domain, saved = errno;
+static int is_inet_socket(int fd) {
+    int domain, saved_errno = errno;
     socklen_t size = sizeof domain;
-    int found = getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain == AF_INET;
-    errno = saved;
-    return found;
+    int is_inet = getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 && domain == AF_INET;
+    errno = saved_errno;
+    return is_inet;
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAIL(call) do { int error_ = fails(call); if (error_ > 0) { errno = error_; return -1; } } while (0)
+#define FAIL(call) do { int error_ = next_fault(call); if (error_ > 0) { errno = error_; return -1; } } while (0)
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     FAIL("accept");
@@ -101,14 +100,14 @@
     return REAL(connect)(fd, address, size);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     FAIL("epoll");
-    return REAL(epoll_wait)(fd, events, most, timeout);
+    return REAL(epoll_wait)(fd, events, max_events, timeout);
 }
 
-int epoll_pwait(int fd, struct epoll_event *events, int most, int timeout, const sigset_t *mask) {
+int epoll_pwait(int fd, struct epoll_event *events, int max_events, int timeout, const sigset_t *mask) {
     FAIL("epoll");
-    return REAL(epoll_pwait)(fd, events, most, timeout, mask);
+    return REAL(epoll_pwait)(fd, events, max_events, timeout, mask);
 }
 
 static ssize_t (*real_read)(int, void *, size_t);
@@ -116,8 +115,8 @@
 ssize_t read(int fd, void *buffer, size_t size) {
     if (!real_read)
         real_read = REAL(read);
-    if (size && is_socket(fd)) {
-        int error = fails("read");
+    if (size && is_inet_socket(fd)) {
+        int error = next_fault("read");
         if (error > 0) {
             errno = error;
             return -1;
@@ -129,8 +128,8 @@
 }
 
 ssize_t write(int fd, const void *buffer, size_t size) {
-    if (size && is_socket(fd)) {
-        int error = fails("write");
+    if (size && is_inet_socket(fd)) {
+        int error = next_fault("write");
         if (error > 0) {
             errno = error;
             return -1;
@@ -141,9 +140,9 @@
     return REAL(write)(fd, buffer, size);
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int number) {
-    if (number && is_socket(fd)) {
-        int error = fails("write");
+ssize_t writev(int fd, const struct iovec *parts, int part_count) {
+    if (part_count && is_inet_socket(fd)) {
+        int error = next_fault("write");
         if (error > 0) {
             errno = error;
             return -1;
@@ -151,7 +150,7 @@
         if (error == SHORT)
             return REAL(write)(fd, parts[0].iov_base, parts[0].iov_len ? 1 : 0);
     }
-    return REAL(writev)(fd, parts, number);
+    return REAL(writev)(fd, parts, part_count);
 }
 
 ssize_t send(int fd, const void *buffer, size_t size, int flags) {
