--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""Harness for tests of `Discovery` alone: a fake discovery server, and a queue of the endpoint list updates."""
+"""Harness for tests of `Discovery` alone: a fake discovery server, and a queue of endpoint list updates."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     "weight": 1.5,
     "startedAtMs": 2000,
 }
-"""An entry of the endpoint list in the JSON form of discovery; the parser knows zones a, b and types m1, m2."""
+"""An endpoint list entry as discovery sends it; the zones are a and b, the machine types m1 and m2."""
 CACHED_GENERATION = 41
 
 
--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -39,7 +39,7 @@
 
 
 class CapturedTimers:
-    """Captures the balancer's timers, so that a test can make one expire before the gateway reads any socket."""
+    """Captures the balancer's timers, so that a test can make them expire before the next socket is read."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, timers: Timers) -> None:
         self._call_at = timers.call_at
@@ -78,7 +78,7 @@
 
 
 class UnreportedConnects:
-    """Connects to an endpoint at once, but calls the gateway's `connection_made` only when a test calls `report`."""
+    """Connects to an endpoint at once, but reports a connection to the gateway only when a test says so."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/support/failing_system_calls.c
+++ b/tests/support/failing_system_calls.c
@@ -77,7 +77,8 @@
 }
 
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAIL(call) do { int error_ = next_fault(call); if (error_ > 0) { errno = error_; return -1; } } while (0)
+#define FAIL(call) \
+    do { int error_ = next_fault(call); if (error_ > 0) { errno = error_; return -1; } } while (0)
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     FAIL("accept");
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -1,4 +1,4 @@
-"""A gateway without a network, for tests of the balancer: a clock, timers, attempts and a `RuleChecker`."""
+"""A simulated gateway without a network, for tests of the balancer, with a clock and a `RuleChecker`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt that the balancer has sent."""
+    """An attempt that the balancer sent, with its timeout and the time of sending."""
 
     request_id: int
     endpoint_id: EndpointId
@@ -33,19 +33,20 @@
 
 
 class GatewayModel:
-    """A balancer, the `Actions` that it requests, and the events that a test brings about.
+    """Implements `Actions` for a balancer, and delivers the events that a test requests.
 
-    The clock stands still until a test runs it; attempts end when a test says so.  `seed` is the balancer's.
+    The clock advances only by `run_for` and `run_until`; an attempt stays in flight until `end_attempt`.
+    `seed` initializes the balancer's random number generator.
     """
 
     def __init__(self, settings: Settings, entries: Sequence[EndpointEntry] = (), seed: int = 1) -> None:
         self.settings = settings
         self.now = 0
-        """The clock, ns."""
+        """Time of the simulated clock, ns."""
         self.attempts: list[AttemptRecord] = []
-        """All attempts, in the order in which they were sent."""
+        """All attempts so far, in the order in which they were sent."""
         self.timers: dict[int, int] = {}
-        """When each timer expires, by its token."""
+        """Expiry time of each timer that is set, ns, by its token."""
         self._last_request_id = 0
         self.rule_checker = RuleChecker(settings)
         self.requests = self.rule_checker.requests
@@ -58,55 +59,55 @@
     # ---- Actions ---------------------------------------------------------------------------------
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
-        """Record an attempt, which is in flight until `end_attempt`."""
+        """Check and record an attempt; it is in flight until `end_attempt`."""
         self.rule_checker.check_attempt(request_id, endpoint_id, self.now)
         self.attempts.append(AttemptRecord(request_id, endpoint_id, timeout_ns, self.now))
 
-    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule looks at it
-        """Record a final response."""
+    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule depends on it
+        """Check and record a final response: a failure."""
         self.rule_checker.check_fail(request_id, self.now)
 
-    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - as above
-        """Record a final response."""
+    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule uses it
+        """Check and record a final response: a rejection."""
         self.rule_checker.check_reject(request_id, self.now)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
-        """Only check that it is allowed: the attempt ends when the test says so."""
+        """Check that the cancellation is allowed; the attempt stays in flight until the test ends it."""
         self.rule_checker.check_cancel(request_id, attempt)
 
     def set_timer(self, token: int, delay_ns: int) -> None:
-        """Set a timer."""
+        """Set or replace the timer with this token."""
         self.timers[token] = self.now + delay_ns
 
     def watch_endpoints(self, active: bool) -> None:
-        """Do nothing: tests bring the endpoint list when they like."""
+        """Do nothing: a test delivers the endpoint list with `update_endpoint_list`."""
 
     def fetch_endpoints(self) -> None:
-        """Do nothing, likewise."""
+        """Do nothing: a test delivers the endpoint list itself, at any time."""
 
-    def check_health(self, endpoint_id: EndpointId) -> None:  # noqa: ARG002 - all endpoints are alike
-        """Check that it is allowed."""
+    def check_health(self, endpoint_id: EndpointId) -> None:  # noqa: ARG002 - no rule depends on it
+        """Check that health checks are allowed."""
         self.rule_checker.check_health_check()
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
         """Do nothing: the model has no connections."""
 
-    def send_gossip(self, peer: int | None, content: bytes) -> None:  # noqa: ARG002 - all peers are alike
-        """Check that it is allowed."""
+    def send_gossip(self, peer: int | None, content: bytes) -> None:  # noqa: ARG002 - as for one peer
+        """Check that gossip is allowed, and its size."""
         self.rule_checker.check_gossip(content)
 
     def log(self, text: str) -> None:
-        """Do nothing: no rule looks at log lines."""
+        """Ignore a log line: no rule depends on it."""
 
     # ---- Events ----------------------------------------------------------------------------------
 
     def update_endpoint_list(self, kind: UpdateKind, entries: Sequence[EndpointEntry]) -> None:
-        """Discovery sends the endpoint list or changes of it, or a call of it fails."""
+        """Deliver an update from discovery: the endpoint list, changes of it, or a failed call."""
         self.rule_checker.update_endpoint_list(kind, entries, self.now)
         self.balancer.on_endpoint_list(self.now, kind, entries)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings are in force."""
+        """Put other settings in force."""
         self.settings = self.rule_checker.settings = settings
         self.balancer.on_settings(self.now, settings)
 
@@ -117,19 +118,19 @@
         tenant_index: int = 0,
         cost_hint_ns: int = 0,
     ) -> int:
-        """A client sends a request, by default with the deadline of its class; returns its number."""
+        """Deliver a request of a client, by default with the deadline of its class; return its id."""
         self._last_request_id += 1
         request_class = self.settings.classes[class_index]
-        timeout = request_class.deadline_ns if timeout_ns is None else timeout_ns
-        self.rule_checker.open_request(self._last_request_id, request_class, self.now + timeout)
+        effective_timeout_ns = request_class.deadline_ns if timeout_ns is None else timeout_ns
+        self.rule_checker.open_request(self._last_request_id, request_class, self.now + effective_timeout_ns)
         incoming = IncomingRequest(
-            self._last_request_id, class_index, tenant_index, 0, timeout, cost_hint_ns, False
+            self._last_request_id, class_index, tenant_index, 0, effective_timeout_ns, cost_hint_ns, False
         )
         self.balancer.on_request(self.now, incoming)
         return self._last_request_id
 
     def start_response(self, request_id: int) -> None:
-        """A streamed response begins, at the oldest attempt in flight."""
+        """Start a streamed response to the request's oldest attempt in flight."""
         self.rule_checker.start_response(request_id)
         attempt = min(self.requests[request_id].attempts_in_flight)
         self.balancer.on_response_started(self.now, request_id, attempt)
@@ -142,61 +143,67 @@
         elapsed_ns: int | None = None,
         load_report: Sequence[float] = (),
     ) -> None:
-        """An attempt ends, by default the oldest in flight.
+        """End an attempt, by default the request's oldest in flight.
 
-        By default it has taken the time since the last attempt of any request was sent.
+        `elapsed_ns` defaults to the time since the last attempt of any request was sent.
         """
         record = self.requests[request_id]
         number = min(record.attempts_in_flight) if attempt is None else attempt
         endpoint_id = self.rule_checker.end_attempt(request_id, number, outcome)
-        elapsed = self.now - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
+        effective_elapsed_ns = self.now - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
         result = AttemptResult(
-            request_id, number, endpoint_id, outcome, max(elapsed, 1), record.is_done, load_report
+            request_id,
+            number,
+            endpoint_id,
+            outcome,
+            max(effective_elapsed_ns, 1),
+            record.is_done,
+            load_report,
         )
         self.balancer.on_attempt_ended(self.now, result)
 
     def client_leaves(self, request_id: int) -> None:
-        """The client leaves."""
+        """Deliver the event that the client has closed its connection."""
         self.rule_checker.abandon_request(request_id)
         self.balancer.on_client_gone(self.now, request_id)
 
     # ---- Time ------------------------------------------------------------------------------------
 
     def run_for(self, duration_ns: int) -> None:
-        """Time passes, and the timers that expire in it call the balancer."""
+        """Advance the clock by this time, and call the balancer for each timer that expires."""
         self.run_until(self.now + duration_ns)
 
-    def run_until(self, time: int) -> None:
-        """Time passes until the clock reads `time`; the timers that expire call the balancer, at ticks."""
+    def run_until(self, end_ns: int) -> None:
+        """Advance the clock to `end_ns`; each timer that expires calls the balancer at the next tick."""
         while self.timers:
-            expires_at, token = min((expires_at, token) for token, expires_at in self.timers.items())
-            if expires_at > time:
+            expires_at_ns, token = min((expires_at_ns, token) for token, expires_at_ns in self.timers.items())
+            if expires_at_ns > end_ns:
                 break
             del self.timers[token]
-            self.now = max(self.now, _round_up(expires_at, self.settings.tick_ns))
+            self.now = max(self.now, _round_up(expires_at_ns, self.settings.tick_ns))
             self.balancer.on_timer(self.now, token)
-        self.now = max(self.now, time)
+        self.now = max(self.now, end_ns)
         self.rule_checker.check_overdue(self.now)
 
     # ---- Observations ----------------------------------------------------------------------------
 
     def in_flight(self, request_id: int) -> dict[int, EndpointId]:
-        """Where the attempts of a request are that are in flight, by their numbers."""
+        """Return the endpoints of the attempts of a request that are in flight, by attempt number."""
         return self.requests[request_id].attempts_in_flight
 
     def requests_in_flight(self) -> list[int]:
-        """The requests with an attempt in flight, in the order in which they came."""
+        """Return the ids of the requests with an attempt in flight, in the order of arrival."""
         return [request_id for request_id, record in self.requests.items() if record.attempts_in_flight]
 
     def attempts_by_endpoint(self) -> Counter[EndpointId]:
-        """The number of attempts that each endpoint has got."""
+        """Return the number of attempts that were sent to each endpoint."""
         return Counter(attempt.endpoint_id for attempt in self.attempts)
 
 
 def serve_one_by_one(
     gateway: GatewayModel, count: int, latency_ns: int, gap_ns: int = 10 * MS, class_index: int = 0
 ) -> None:
-    """Have requests come one after another, `gap_ns` after the response to the one before."""
+    """Deliver requests sequentially, each `gap_ns` after the response to the previous request."""
     for _ in range(count):
         request_id = gateway.receive_request(class_index)
         gateway.run_for(latency_ns)
@@ -208,7 +215,7 @@
 def serve_all_in_flight(
     gateway: GatewayModel, count: int, latency_ns: int, load_report: Sequence[float] = ()
 ) -> None:
-    """Have requests come one after another, and after each have all requests in flight served."""
+    """Deliver requests one after another, and end all attempts in flight with success after each request."""
     for _ in range(count):
         gateway.receive_request()
         gateway.run_for(latency_ns)
@@ -216,5 +223,5 @@
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=latency_ns, load_report=load_report)
 
 
-def _round_up(time: int, tick_ns: int) -> int:
-    return -(-time // tick_ns) * tick_ns
+def _round_up(time_ns: int, tick_ns: int) -> int:
+    return -(-time_ns // tick_ns) * tick_ns
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,6 +1,6 @@
-"""Endpoints, discovery and clients on loopback sockets, for the tests of the gateway.
+"""Fake endpoints, discovery and clients on loopback sockets, for the tests of the gateway.
 
-They share no code with the gateway: messages are read and written here by hand.
+They share no code with the gateway: messages are parsed and written here independently.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from gateway.gateway import Gateway
 
 LIMIT_S = 20.0
-"""Longest time of a test, s."""
+"""Time limit of each asynchronous test, s."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 LAST = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
-"""A response after which the endpoint takes nothing more on its connection."""
+"""A response with `Connection: close`: the endpoint accepts no further request on this connection."""
 SETTINGS: dict[str, Any] = {
     "az": 0,
     "zones": ["a", "b"],
@@ -40,7 +40,7 @@
         "dial-timeout-ns": 250_000_000,
         "conn-idle-ns": 15_000_000_000,
     },
-    "rules": {"ask-within-ns": 200_000_000},  # discovery is polled at once
+    "rules": {"ask-within-ns": 200_000_000},  # the gateway polls discovery at once
     "request-classes": [
         {"name": "read", "give-up-ns": 6_000_000_000, "slo-ns": 6_000_000_000, "effect": "read_like"},
         {
@@ -57,7 +57,7 @@
 
 
 def run_coroutine(function: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a coroutine on an event loop of the kind that the gateway has, with a limit on its time."""
+    """Run a coroutine function on uvloop, as the gateway does, with a time limit of `LIMIT_S`."""
 
     async def run() -> None:
         await asyncio.wait_for(function(), LIMIT_S)
@@ -66,15 +66,15 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of a message with a length."""
+    """Read a message framed by Content-Length; return its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
-    first, *lines = head.strip().split("\r\n")
+    first_line, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
+    return first_line, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
 class ReceivedRequest:
-    """A request that has come to an endpoint, and the means to respond."""
+    """A request that a `FakeEndpoint` received, with the streams of its connection."""
 
     def __init__(
         self,
@@ -89,11 +89,11 @@
         self.writer, self.reader, self._closed = writer, reader, closed
 
     def reply(self, data: bytes = OK) -> None:
-        """Write these bytes."""
+        """Write bytes to the gateway, by default a complete response."""
         self.writer.write(data)
 
     async def closed(self) -> None:
-        """Wait until the gateway has closed this connection."""
+        """Wait until the gateway has closed the connection of this request."""
         if self._closed is not None:
             await self._closed.wait()
             return
@@ -103,9 +103,9 @@
 
 
 class FakeEndpoint:
-    """An endpoint; each request goes to `received`, and gets `reply` for its response if there is one.
+    """An endpoint that puts each request into `received`, and responds with `reply` unless that is None.
 
-    Without a `reply` the test responds, and each connection carries one request.
+    Without a `reply` the test itself responds, and only the first request of each connection is read.
     """
 
     def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
@@ -130,88 +130,89 @@
                 received = ReceivedRequest(*await read_message(reader), writer, reader, closed)
                 self.received.put_nowait(received)
                 if self.reply is None:
-                    return  # the test has the connection from now on
+                    return  # the test uses the connection from here on
                 received.reply(self.reply)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
             if closed is not None:
                 closed.set()
 
-    def row(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
-        """This endpoint's entry in the endpoint list."""
+    def row(self, lifecycle: str = "in_service", **more_fields: Any) -> dict[str, Any]:
+        """Return this endpoint's entry in the endpoint list, in the JSON form of discovery."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
             "zone": "a",
             "machineType": "m",
             "cell": 0,
-            "lifecycle": state,
+            "lifecycle": lifecycle,
             "weight": 1.0,
             "startedAtMs": 0,
-            **more,
+            **more_fields,
         }
 
 
 class FakeDiscovery:
-    """Discovery; each call goes to `calls`: its request line, and the means to write to it."""
+    """A discovery server that puts each call into `calls`: its request line and its writer."""
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.address = ""
 
-    async def start(self, own: socket.socket | None = None) -> FakeDiscovery:
-        """Listen on a free port, or on a socket that is bound already."""
+    async def start(self, bound_socket: socket.socket | None = None) -> FakeDiscovery:
+        """Listen on a free port, or on a socket that is already bound."""
         server = await (
             asyncio.start_server(self._serve, "127.0.0.1", 0)
-            if own is None
-            else asyncio.start_server(self._serve, sock=own)
+            if bound_socket is None
+            else asyncio.start_server(self._serve, sock=bound_socket)
         )
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, OSError):
-            first, _, _ = await read_message(reader)
-            self.calls.put_nowait((first, writer))
+            request_line, _, _ = await read_message(reader)
+            self.calls.put_nowait((request_line, writer))
             await reader.read()
 
     @staticmethod
     def head(writer: asyncio.StreamWriter) -> None:
-        """Begin the response to a watch."""
+        """Write the head of the chunked response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
     def line(
-        writer: asyncio.StreamWriter, generation: int, rows: list[dict[str, Any]], reset: bool = False
+        writer: asyncio.StreamWriter, generation: int, entries: list[dict[str, Any]], reset: bool = False
     ) -> None:
-        """Write one line of a watch."""
+        """Write one watch event: a line of JSON, as one chunk."""
         FakeDiscovery.raw(
-            writer, json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode() + b"\n"
+            writer,
+            json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode() + b"\n",
         )
 
     @staticmethod
     def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write one chunk."""
+        """Write these bytes as one chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
 
 class Client:
-    """One connection to the gateway."""
+    """A client with one connection to the gateway."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def send(self, data: bytes) -> None:
-        """Write these bytes."""
+        """Write bytes to the gateway."""
         self.writer.write(data)
 
     async def response(self) -> tuple[int, dict[str, str], bytes]:
-        """The next response: status, headers, body."""
-        first, headers, body = await read_message(self.reader)
-        return int(first.split()[1]), headers, body
+        """Read the next response; return its status, headers and body."""
+        status_line, headers, body = await read_message(self.reader)
+        return int(status_line.split()[1]), headers, body
 
     async def exchange(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
-        """Send a request and wait for its response."""
+        """Send a request; return the status, headers and body of its response."""
         self.send(data)
         return await self.response()
 
@@ -224,9 +225,9 @@
     path: str = "/x?q=1",
     **headers: str,
 ) -> bytes:
-    """A client's request.
+    """Return a request of a client, as bytes.
 
-    `request_id` is its X-Request-ID; `drop` leaves a header out; `headers` are added, with `_` for `-`.
+    `request_id` is its X-Request-ID; `drop` names a header to omit; `headers` are added, with `_` for `-`.
     """
     lines = {
         "Host": "app.svc",
@@ -247,7 +248,7 @@
 
 
 class GatewayHarness(AsyncExitStack):
-    """A gateway with its endpoints and discovery, all in the process of the test."""
+    """A gateway with fake endpoints and discovery, all in the process of the test."""
 
     gateway: Gateway
     discovery: FakeDiscovery
@@ -261,9 +262,10 @@
         configuration: dict[str, Any] | None = None,
         **settings: Any,
     ) -> GatewayHarness:
-        """Start a gateway with these endpoints, or these rows, in its cached list.
+        """Start a gateway whose cached endpoint list holds these endpoints, or `rows` instead.
 
-        `configuration` replaces sections of its configuration, `settings` parts of its settings.
+        `configuration` replaces sections of its configuration, `settings` keys of its settings; `make`
+        creates its balancer.
         """
         self.discovery = await FakeDiscovery().start()
         for endpoint in endpoints:
@@ -292,11 +294,14 @@
         return self
 
     async def client(self) -> Client:
-        """A new connection to the gateway."""
+        """Open a new connection to the gateway."""
         return Client(*await asyncio.open_connection(*self.where))
 
 
 async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Run the event loop until this is true; the time limit of the test ends a wait in vain."""
+    """Run the event loop until `ready` is true; await `step` between two tests of it.
+
+    The time limit of the test ends the wait if that never happens.
+    """
     while not ready():
         await (step() if step is not None else asyncio.sleep(0))
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Real gateway processes: how tests configure them, start them and connect to them."""
+"""Gateway processes for tests: configure them, start them, connect to them and kill them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 def end_launched() -> None:
-    """End the gateways that a test has left running, as their ports may be those of later tests."""
-    for program in _launched:
-        if program.returncode is None:
+    """Kill the gateways that a test left running, as later tests may be given the same ports."""
+    for process in _launched:
+        if process.returncode is None:
             with suppress(ProcessLookupError):
-                os.kill(program.pid, signal.SIGKILL)
+                os.kill(process.pid, signal.SIGKILL)
     _launched.clear()
 
 
 def write_config(path: Path, discovery: FakeDiscovery, *endpoints: FakeEndpoint) -> dict[str, Any]:
-    """Write a configuration file with these endpoints in its cached list; returns its content."""
+    """Write a configuration file with these endpoints in its cached list; return its content."""
     config = {
         "listen": "127.0.0.1:0",
         "discovery": discovery.address,
@@ -45,32 +45,32 @@
 async def launch(
     path: Path, sockets: int = 0, **environ: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """Start a gateway and wait for its address, which it logs once it listens.
+    """Start a gateway; return its process and its address, which it logs once it listens.
 
-    `sockets` limits its descriptors, 0 for no limit of its own.
+    `sockets` limits the file descriptors of the process; 0 leaves the limit as inherited.
     """
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         if sockets:
             resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
-    program = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         *COMMAND,
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
+        preexec_fn=limit_descriptors,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
     )
-    _launched.append(program)
-    assert program.stderr is not None
+    _launched.append(process)
+    assert process.stderr is not None
     while True:
-        line = (await program.stderr.readline()).decode()
-        assert line, "the gateway has ended"
+        line = (await process.stderr.readline()).decode()
+        assert line, "the gateway exited before it listened"
         if "listening on" in line:
             host, _, port = line.split()[-1].rpartition(":")
-            return program, (host, int(port))
+            return process, (host, int(port))
 
 
 async def connect(address: tuple[str, int]) -> Client:
-    """A new connection to a gateway."""
+    """Open a new connection to a gateway."""
     return Client(*await asyncio.open_connection(*address))
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -1,4 +1,4 @@
-"""Arbitrary sequences of events at a gateway, for property tests."""
+"""Sequences of arbitrary events at a gateway, for property-based tests."""
 
 from __future__ import annotations
 
@@ -50,16 +50,16 @@
     Outcome.RESET,
     Outcome.CANCELLED,
 ]
-TIMEOUTS = [0, 1, 3 * MS, 80 * MS, *[SECOND] * 6]
-"""Timeouts of requests; most are the deadline of their class."""
+TIMEOUTS_NS = [0, 1, 3 * MS, 80 * MS, *[SECOND] * 6]
+"""Timeouts that requests choose from; 1 s, the deadline of their class, is the most frequent."""
 MAX_NUMBER = 400
-"""Largest number in a step."""
+"""Largest value of the numbers in a step."""
 UNKNOWN_TOKEN = 10_000
-"""Tokens from here on are of no timer."""
+"""First timer token for events of timers that the balancer has not set."""
 
 
 class StepKind(Enum):
-    """An event that a scenario brings about."""
+    """Kinds of events in a scenario."""
 
     REQUEST = auto()
     TIME = auto()
@@ -82,7 +82,7 @@
 
 
 class Step(NamedTuple):
-    """A step of a scenario; its numbers choose among what is possible."""
+    """A step of a scenario; its numbers select the request, the endpoint, the outcome and so on."""
 
     kind: StepKind
     number: int
@@ -90,7 +90,7 @@
 
 
 class Scenario:
-    """A gateway, the endpoints and the tenants that the steps of a scenario change."""
+    """Applies the steps of a scenario to a gateway, its endpoints and its tenants."""
 
     def __init__(self, limits: Limits, endpoint_count: int, zones: int, poll_discovery: bool) -> None:
         settings = make_settings(
@@ -108,13 +108,13 @@
         self.gateway = GatewayModel(settings, self._entries)
 
     def run(self, steps: Sequence[Step]) -> GatewayModel:
-        """Take all steps, then let every deadline pass; returns the gateway."""
+        """Apply all steps, then run until every deadline has passed; return the gateway."""
         for step in steps:
-            self._take(step)
+            self._apply_step(step)
         self.gateway.run_for(3 * SECOND)
         return self.gateway
 
-    def _take(self, step: Step) -> None:
+    def _apply_step(self, step: Step) -> None:
         match step.kind:
             case StepKind.REQUEST:
                 self._receive_request(step)
@@ -139,17 +139,17 @@
     def _receive_request(self, step: Step) -> None:
         self.gateway.receive_request(
             step.number % len(CLASSES),
-            TIMEOUTS[step.other % len(TIMEOUTS)],
+            TIMEOUTS_NS[step.other % len(TIMEOUTS_NS)],
             tenant_index=step.other % self._tenant_count if self._tenant_count else 0,
         )
 
     def _advance_request(self, step: Step) -> None:
-        """Let something happen to a request with an attempt in flight, if there is one."""
+        """Start the response to a request with an attempt in flight, or end the attempt, if there is one."""
         gateway = self.gateway
-        candidates = gateway.requests_in_flight()
-        if not candidates:
+        request_ids = gateway.requests_in_flight()
+        if not request_ids:
             return
-        request_id = candidates[step.number % len(candidates)]
+        request_id = request_ids[step.number % len(request_ids)]
         if step.kind is StepKind.RESPONSE_STARTED:
             record = gateway.requests[request_id]
             if record.request_class.streaming and not record.is_done:
@@ -159,8 +159,8 @@
         outcome = OUTCOMES[step.other % len(OUTCOMES)]
         gateway.end_attempt(request_id, outcome, attempt)
         if step.kind is StepKind.ATTEMPT_ENDED_TWICE:
-            again = AttemptResult(request_id, attempt, "h0", outcome, 1, False, ())
-            gateway.balancer.on_attempt_ended(gateway.now, again)
+            duplicate = AttemptResult(request_id, attempt, "h0", outcome, 1, False, ())
+            gateway.balancer.on_attempt_ended(gateway.now, duplicate)
 
     def _update_endpoint_list(self, step: Step) -> None:
         gateway = self.gateway
@@ -196,7 +196,7 @@
         self._tenant_count = max(self._tenant_count, position + 1)
 
     def _change_settings(self, step: Step) -> None:
-        """Change the settings; open requests go on under those under which they came."""
+        """Change the settings; requests that arrived earlier keep the class settings of their arrival."""
         classes = tuple(
             replace(
                 item,
--- a/tests/support/settings_builders.py
+++ b/tests/support/settings_builders.py
@@ -1,4 +1,4 @@
-"""Settings and endpoint list entries for tests, which name only what they care about."""
+"""Builders of settings and endpoint list entries with defaults, so that a test states only what it needs."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
     **fields: Any,
 ) -> RequestClass:
-    """A class with a latency objective of 400 ms and a deadline of 1 s, unless `fields` say otherwise."""
+    """Return a request class; default latency objective 400 ms, deadline 1 s; `fields` override them."""
     defaults: dict[str, Any] = {
         "name": "c",
         "latency_objective_ns": 400 * MS,
@@ -39,7 +39,7 @@
 
 
 def make_settings(*classes: RequestClass, zones: int = 1, **fields: Any) -> Settings:
-    """Settings of a gateway in zone 0 with five attempts for a request, unless `fields` say otherwise."""
+    """Return settings of a gateway in zone 0 with five attempts at most per request; `fields` override defaults."""
     defaults: dict[str, Any] = {
         "zone": 0,
         "zones": zones,
@@ -57,10 +57,10 @@
     started_ns: int = 0,
     weight: float = 1.0,
 ) -> EndpointEntry:
-    """An entry of the endpoint list: a ready endpoint that started long ago."""
+    """Return an entry of the endpoint list, by default of a ready endpoint that started long ago."""
     return EndpointEntry(endpoint_id, zone, 0, cell, state, weight, started_ns)
 
 
 def make_entries(count: int) -> list[EndpointEntry]:
-    """Entries of the ready endpoints h0, h1 and so on, all in zone 0."""
+    """Return entries of the ready endpoints h0, h1 and so on, all in zone 0."""
     return [make_entry(f"h{number}") for number in range(count)]
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -1,4 +1,4 @@
-"""Balancers that do as a test says, in place of the real one."""
+"""Stub balancers with fixed behaviour, which replace the real balancer in tests of the gateway."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 ]
 
 ENDPOINT = "h0"
-"""The endpoint that attempts are sent to."""
+"""The endpoint that the stubs send attempts to."""
 
 
 class Stub:
-    """Does nothing; derived classes act on each request, and events that they don't handle are ignored."""
+    """Base class of the stubs: calls `act` for each request, and ignores all events without a method."""
 
-    def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:  # noqa: ARG002 - the gateway's
+    def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:  # noqa: ARG002 - the gateway's
         self.actions = actions
 
     def __getattr__(self, name: str) -> Any:
@@ -34,11 +34,11 @@
         self.act(incoming.request_id)
 
     def act(self, request_id: int) -> None:
-        """Act on a request that has come."""
+        """Handle a new request; the base class does nothing."""
 
 
 class Rejects(Stub):
-    """Rejects each request, with advice when to come back."""
+    """Rejects each request, with a Retry-After of 1250 ms."""
 
     def act(self, request_id: int) -> None:
         self.actions.reject(request_id, 1250 * MS, EndReason.INSUFFICIENT_TIME)
@@ -55,17 +55,17 @@
     """Raises an exception at each request."""
 
     def act(self, request_id: int) -> None:
-        raise RuntimeError(f"on purpose, at request {request_id}")
+        raise RuntimeError(f"deliberate error at request {request_id}")
 
 
 class RaisesLater(Stub):
-    """Sends one attempt for each request, and raises an exception when it ends."""
+    """Sends one attempt for each request, and raises an exception when the attempt ends."""
 
     def act(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
-        raise RuntimeError("on purpose")
+        raise RuntimeError("deliberate error at the end of an attempt")
 
 
 class Sends(Stub):
@@ -84,19 +84,23 @@
 
 
 class SendsAfterItsResponse(Stub):
-    """Also requests a response twice, and from inside an event that its own action causes."""
+    """Sends attempts before and after the final response, which it requests twice; records nested calls.
 
-    def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
-        super().__init__(settings, salt, actions)
+    The first attempt goes to an unknown endpoint and ends at once: its end must not be reported while the
+    balancer still handles the request (`max_depth` 1).
+    """
+
+    def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
+        super().__init__(settings, seed, actions)
         self.depth = 0
         self.max_depth = 0
         self.outcomes: list[tuple[int, str, str]] = []
-        """Number, endpoint and outcome of each attempt that has ended."""
+        """Number, endpoint and outcome of each attempt that ended, in the order of the reports."""
 
     def act(self, request_id: int) -> None:
         self.depth += 1
         self.max_depth = max(self.max_depth, self.depth)
-        self.actions.send_attempt(request_id, "nowhere", 0)  # ends at once
+        self.actions.send_attempt(request_id, "nowhere", 0)  # an unknown endpoint: the attempt ends at once
         self.actions.fail(request_id, EndReason.INSUFFICIENT_TIME)
         self.actions.reject(request_id, 0, EndReason.INSUFFICIENT_TIME)
         self.actions.send_attempt(request_id, ENDPOINT, 0)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's connections to endpoints: an `Upstream` by itself, and sockets that it meets."""
+"""Harness for tests of `Upstream` alone, and the listening sockets that it connects to."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from gateway.upstream import Attempt, Upstream
 from gateway.upstream.endpoint import REUSE_DELAY
 
-HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
+REQUEST_HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
 MAX_OPEN = 20
-"""Connections that the upstream of a harness may have open."""
+"""Maximum number of connections that the harness's upstream may have open."""
 
 
 class UpstreamHarness:
-    """An `Upstream` that knows one endpoint at most, and the outcomes of its attempts."""
+    """An `Upstream` with at most one endpoint, `h0`, and the timers that expire its attempts."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -28,7 +28,7 @@
     def list_endpoint(
         self, address: str, state: EndpointState = EndpointState.READY, started_ns: int = 0
     ) -> None:
-        """Notify the upstream of a change of its one endpoint."""
+        """Send the upstream a delta of the endpoint list with its one endpoint."""
         host, _, port = address.rpartition(":")
         entry = EndpointEntry("h0", 0, 0, 0, state, 1.0, started_ns)
         self.upstream.apply_endpoint_list(False, [ListedEndpoint(entry, (host, int(port)))])
@@ -36,13 +36,13 @@
     def start(
         self, within: int = 9 * SECOND, body: bytes = b""
     ) -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
-        """Start an attempt; it expires `within` so many ns."""
+        """Start an attempt that expires after `within` ns; return it and the future of its outcome."""
         result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
         attempt = Attempt(
             "h0",
             0,
-            Payload(HEAD + b"Content-Length: %d\r\n" % len(body), body),
+            Payload(REQUEST_HEAD + b"Content-Length: %d\r\n" % len(body), body),
             now,
             now + within,
             lambda _, outcome, response: result.set_result((outcome, response)),
@@ -57,17 +57,14 @@
 
 
 def age_idle_connections(upstream: Upstream) -> None:
-    """Make idle connections so old that they can be used again."""
+    """Make idle connections old enough to be reused (`REUSE_DELAY`)."""
     for endpoint in upstream.endpoints.values():
         for connection in endpoint.idle:
             connection.idle_since_ns -= REUSE_DELAY
 
 
-"""Its former name, until the last test that uses it has changed."""
-
-
 def open_listener(receive_buffer: int = 0) -> socket.socket:
-    """A listener for the loop's own calls; `receive_buffer` in bytes, 0 for the system's."""
+    """Open a non-blocking listener; `receive_buffer` is in bytes, 0 for the default of the system."""
     listener = socket.socket()
     if receive_buffer:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -78,26 +75,29 @@
 
 
 def address_of(listener: socket.socket) -> str:
-    """Where a socket is bound, as discovery writes it."""
+    """Return the address of a bound socket as `host:port`, the form that discovery uses."""
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
 def full_listener() -> tuple[socket.socket, list[socket.socket], str]:
-    """A listener whose queue is full, so that new connections do not open; what fills it; the address."""
+    """Open a listener whose accept queue is full, so that connections to it stay pending.
+
+    Return the listener, the sockets that fill its queue, and its address.
+    """
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
-    fill = []
+    fillers = []
     for _ in range(3):
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
-        fill.append(sock)
-    return listener, fill, address_of(listener)
+        fillers.append(sock)
+    return listener, fillers, address_of(listener)
 
 
 def peek(sock: socket.socket) -> bytes | None:
-    """What can be read now: nothing at the end of the other side's sending, None while that is open."""
+    """Return a byte that can be read now, nothing at the end of the stream, None if no data is available."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
