--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -1,4 +1,4 @@
-"""Control, for tests of race conditions, over which of several events the gateway handles first."""
+"""Helpers for tests of race conditions: they control which of several events the gateway handles first."""
 
 from __future__ import annotations
 
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -67,7 +67,7 @@
         """Check and record a final response: a failure."""
         self.rule_checker.check_fail(request_id, self.now)
 
-    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule uses it
+    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule depends on it
         """Check and record a final response: a rejection."""
         self.rule_checker.check_reject(request_id, self.now)
 
@@ -92,7 +92,7 @@
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
         """Do nothing: the model has no connections."""
 
-    def send_gossip(self, peer: int | None, content: bytes) -> None:  # noqa: ARG002 - as for one peer
+    def send_gossip(self, peer: int | None, content: bytes) -> None:  # noqa: ARG002 - no rule depends on it
         """Check that gossip is allowed, and its size."""
         self.rule_checker.check_gossip(content)
 
@@ -150,15 +150,9 @@
         record = self.requests[request_id]
         number = min(record.attempts_in_flight) if attempt is None else attempt
         endpoint_id = self.rule_checker.end_attempt(request_id, number, outcome)
-        effective_elapsed_ns = self.now - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
+        duration_ns = self.now - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
         result = AttemptResult(
-            request_id,
-            number,
-            endpoint_id,
-            outcome,
-            max(effective_elapsed_ns, 1),
-            record.is_done,
-            load_report,
+            request_id, number, endpoint_id, outcome, max(duration_ns, 1), record.is_done, load_report
         )
         self.balancer.on_attempt_ended(self.now, result)
 
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -35,7 +35,7 @@
     """A rule that the checker enforces."""
 
     FINAL_RESPONSE = "each request gets one final response before its deadline"
-    REPETITION = "a request is sent again only as often and to where that is allowed"
+    REPETITION = "a request is repeated only as often as allowed, and only to endpoints where that is allowed"
     DRAINING = "an endpoint that is not ready gets no new attempts"
     PERMISSION = "only actions that the settings allow"
 
@@ -108,9 +108,9 @@
         listed = {entry.endpoint_id for entry in entries}
         for entry in entries:
             self._endpoints[entry.endpoint_id] = entry
-        for endpoint_id, known in self._endpoints.items():
+        for endpoint_id, known_entry in self._endpoints.items():
             is_listed = kind is UpdateKind.DELTA or endpoint_id in listed
-            if known.state is EndpointState.READY and is_listed:
+            if known_entry.state is EndpointState.READY and is_listed:
                 self._unavailable_since_ns.pop(endpoint_id, None)
             else:
                 self._unavailable_since_ns.setdefault(endpoint_id, now_ns)
@@ -140,8 +140,8 @@
             request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
             and request_class.deduplication_scope is DeduplicationScope.ALL
         )
-        is_harmless = is_safe or is_deduplicated_everywhere or not record.maybe_processed
-        if not record.is_done and not is_harmless:
+        is_safe_to_repeat = is_safe or is_deduplicated_everywhere or not record.maybe_processed
+        if not record.is_done and not is_safe_to_repeat:
             self._report(Rule.REPETITION, f"request {request_id} may have been processed and is rejected")
         self._check_response(request_id, FinalResponse.REJECTED, now_ns)
 
--- a/tests/support/settings_builders.py
+++ b/tests/support/settings_builders.py
@@ -39,7 +39,7 @@
 
 
 def make_settings(*classes: RequestClass, zones: int = 1, **fields: Any) -> Settings:
-    """Return settings of a gateway in zone 0 with five attempts at most per request; `fields` override defaults."""
+    """Return settings of a gateway in zone 0, at most five attempts per request; `fields` override them."""
     defaults: dict[str, Any] = {
         "zone": 0,
         "zones": zones,
