--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,9 +1,9 @@
-"""Measurements at scale: a synthetic fleet, stand-ins of discovery and endpoints, and headless gateways.
+"""Scale experiments: a synthetic fleet, mock discovery and endpoint servers, and headless gateways.
 
-It imports `gateway` and `balancer`, never the reverse; what it measures runs the project's own code.
+This package imports `gateway` and `balancer`, never the reverse; the measured code is the project's own.
 """
 
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-"""The project's root, from which the measured programs are started."""
+"""Root directory of the project; the measured programs are started in it."""
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m scale EXPERIMENT`: runs it over its sizes, records each run, prints a table and the fits."""
+"""`python -m scale EXPERIMENT`: runs an experiment for each size, records each run, prints table and fits."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 
 def _parse_options(experiment: Experiment, assignments: tuple[str, ...]) -> dict[str, float]:
-    """Options of the experiment from texts NAME=NUMBER.  Raises click.BadParameter."""
+    """Parse NAME=NUMBER texts into options of the experiment.  Raises click.BadParameter."""
     known = list(inspect.signature(experiment.run).parameters)[2:]
     options: dict[str, float] = {}
     for text in assignments:
         name, _, value = text.partition("=")
         if name not in known:
-            raise click.BadParameter(f"{name!r} is no option of this experiment; it has {', '.join(known)}")
+            raise click.BadParameter(
+                f"{name!r} is not an option of this experiment; its options are {', '.join(known)}"
+            )
         try:
             options[name] = float(value) if "." in value else int(value)
         except ValueError:
-            raise click.BadParameter(f"{text!r} is not NAME=NUMBER") from None
+            raise click.BadParameter(f"{text!r} is not of the form NAME=NUMBER") from None
     return options
 
 
@@ -41,7 +43,7 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=Path("logs/scale.jsonl"),
     show_default=True,
-    help="Records are appended to this file.",
+    help="File to which records are appended.",
 )
 @click.option(
     "--set", "assignments", metavar="NAME=NUMBER", multiple=True, help="An option of the experiment."
@@ -51,7 +53,7 @@
     type=click.FloatRange(min=1),
     default=120.0,
     show_default=True,
-    help="A run that takes longer has failed.",
+    help="Time limit of a run in seconds; a run that takes longer fails.",
 )
 def command(
     experiment: str,
@@ -62,11 +64,11 @@
     assignments: tuple[str, ...],
     limit_s: float,
 ) -> int:
-    """Run the experiment; returns 0 where all runs have succeeded, else 1."""
+    """Run the experiment; return 0 if all runs succeeded, else 1."""
     chosen = EXPERIMENTS[experiment]
     options = _parse_options(chosen, assignments)
     if max(sizes, default=0) > chosen.largest:
-        raise click.BadParameter(f"the largest size of {experiment} is {chosen.largest}")
+        raise click.BadParameter(f"the maximum size of {experiment} is {chosen.largest}")
     try:
         out.parent.mkdir(parents=True, exist_ok=True)
         out.open("a").close()
@@ -87,19 +89,19 @@
 def _run(
     experiment: Experiment, size: int, seed: int, options: dict[str, float], limit_s: float
 ) -> tuple[dict[str, float], str]:
-    """The figures of one run, or why it has failed."""
+    """Return the figures of one run, and the reason if it failed (else an empty text)."""
 
-    async def bounded() -> dict[str, float]:
+    async def run_with_timeout() -> dict[str, float]:
         return await asyncio.wait_for(experiment.run(size, seed, **options), limit_s)
 
     try:
-        return uvloop.run(bounded()), ""
+        return uvloop.run(run_with_timeout()), ""
     except (OSError, RuntimeError, ValueError) as error:  # TimeoutError is an OSError
         return {}, f"{type(error).__name__}: {error}"
 
 
 def main() -> int:
-    """Run as a program; returns 0 where all runs have succeeded, 1 where one failed, 2 for bad arguments."""
+    """Run the command line; return 0 if all runs succeeded, 1 if one failed, 2 for invalid arguments."""
     try:
         return int(command.main(standalone_mode=False, prog_name="scale") or 0)
     except click.ClickException as error:
--- a/scale/backend.py
+++ b/scale/backend.py
@@ -1,7 +1,7 @@
-"""The stand-in of endpoints: one process that responds at the addresses of all endpoints of a fleet.
+"""Mock endpoints: one process that responds at the addresses of all endpoints of a fleet.
 
-As a program (`python -m scale.backend LISTENERS`) it listens on that many addresses of 127.0.0.0/8, writes
-them to standard output as one JSON list of `host:port`, and ends when its standard input does.
+`python -m scale.backend LISTENERS` listens on that many addresses of 127.0.0.0/8, writes them to standard
+output as one JSON list of `host:port`, and exits when its standard input ends.
 """
 
 from __future__ import annotations
@@ -23,43 +23,43 @@
 
 __all__ = ["Backend", "UnknownColumnError", "listener_address"]
 
-WORKERS = 16
-"""Requests in flight that make an endpoint's utilization 1."""
-REPORTS: dict[str, Callable[[int], float]] = {
+FULL_UTILIZATION_IN_FLIGHT = 16
+"""Requests in flight at which an endpoint reports a utilization of 1."""
+COLUMN_VALUES: dict[str, Callable[[int], float]] = {
     "outstanding": lambda in_flight: in_flight,
     "backlog": lambda _: 0,
-    "utilization": lambda in_flight: round(min(1.0, in_flight / WORKERS), 3),
+    "utilization": lambda in_flight: round(min(1.0, in_flight / FULL_UTILIZATION_IN_FLIGHT), 3),
 }
-"""The columns of a load report that it can fill, from the requests in flight."""
+"""Supported columns of a load report, each with the function of the requests in flight that gives its value."""
 
 
 class UnknownColumnError(ValueError):
-    """A load report has a column that the stand-in has no figure for."""
+    """A load report has a column that the mock endpoints do not support."""
 
 
 def listener_address(number: int) -> str:
-    """The IPv4 address of listener `number` (0 to 65,023), one of 127.64.0.0/16 without .0 and .255."""
+    """Return the IPv4 address of listener `number` (0 to 65,023): in 127.64.0.0/16, not ending in .0 or .255."""
     return f"127.64.{number // 254}.{number % 254 + 1}"
 
 
 class Backend:
-    """Responds as the gateway's protocol requires of endpoints.
+    """Mock endpoints that respond as the gateway's protocol requires of endpoints.
 
-    The service time depends on the seed and the request's id alone; `mean_s` is the mean of
-    the exponential service times, in seconds.  `columns` are those of the settings' load report, none for no
-    report.  Raises UnknownColumnError.
+    Service times are exponential with a mean of `mean_s` seconds; each depends only on the seed and the id of
+    the request.  `columns` are the columns of the load report in the settings; without any, responses carry
+    no report.  Raises UnknownColumnError.
     """
 
     def __init__(self, seed: int, mean_s: float, columns: Sequence[str] = ()) -> None:
-        if unknown := [name for name in columns if name not in REPORTS]:
-            raise UnknownColumnError(f"no figure for {', '.join(unknown)}")
+        if unknown := [name for name in columns if name not in COLUMN_VALUES]:
+            raise UnknownColumnError(f"unsupported columns of the load report: {', '.join(unknown)}")
         self._seed = seed
         self._mean_s = mean_s
         self._columns = columns
         self._servers: list[asyncio.Server] = []
 
     async def start(self, listeners: int) -> list[str]:
-        """Listen; returns the addresses, `host:port`."""
+        """Start so many listeners; return their addresses, `host:port`."""
         loop = asyncio.get_running_loop()
         addresses = []
         for number in range(listeners):
@@ -71,52 +71,54 @@
         return addresses
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close all listeners."""
         for server in self._servers:
             server.close()
 
     def service_time_s(self, request_id: bytes) -> float:
-        """How long the request with this id takes, seconds."""
+        """Return the service time of the request with this id, seconds."""
         return random.Random(b"%d:%b" % (self._seed, request_id)).expovariate(1 / self._mean_s)
 
     def response(self, request_id: bytes, elapsed_ns: int, in_flight: int) -> bytes:
-        """The complete 200 response; `Server-Timing` has the endpoint's own time in milliseconds."""
+        """Return a complete 200 response; `Server-Timing` has the time spent in the endpoint, milliseconds."""
         body = b"served " + request_id
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Timing: app;dur=%.6f\r\n" % (
             len(body),
             elapsed_ns / 1e6,
         )
         if self._columns:
-            report = {name: REPORTS[name](in_flight) for name in self._columns}
+            report = {name: COLUMN_VALUES[name](in_flight) for name in self._columns}
             head += b"X-Server-Load: %b\r\n" % json.dumps(report).encode()
         return b"%b\r\n%b" % (head, body)
 
 
 class _Endpoint:
-    """What the connections to one address share."""
+    """State that the connections to one address share."""
 
     def __init__(self) -> None:
         self.in_flight = 0
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a gateway; it carries one request at a time."""
+    """A connection from a gateway; it carries one request at a time."""
 
     def __init__(self, backend: Backend, endpoint: _Endpoint) -> None:
         self._backend = backend
         self._endpoint = endpoint
         self._parser = httptools.HttpRequestParser(self)
         self._request_id = b""
-        self._service: asyncio.TimerHandle | None = None
+        self._service_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not derive from asyncio.Transport
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - of the interface
-        if self._service is not None:
-            self._service.cancel()
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio.Protocol
+        if self._service_timer is not None:
+            self._service_timer.cancel()
             self._endpoint.in_flight -= 1
-        del self._parser  # it refers to this connection
+        del self._parser  # breaks the reference cycle between parser and connection
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -136,17 +138,17 @@
             self._reject(b"404 Not Found")
             return
         self._endpoint.in_flight += 1
-        self._service = asyncio.get_running_loop().call_later(
+        self._service_timer = asyncio.get_running_loop().call_later(
             self._backend.service_time_s(self._request_id),
             self._finish,
             self._request_id,
             time.monotonic_ns(),
         )
 
-    def _finish(self, request_id: bytes, begun_ns: int) -> None:
-        self._service = None
+    def _finish(self, request_id: bytes, started_ns: int) -> None:
+        self._service_timer = None
         self._endpoint.in_flight -= 1
-        elapsed_ns = time.monotonic_ns() - begun_ns
+        elapsed_ns = time.monotonic_ns() - started_ns
         self._transport.write(self._backend.response(request_id, elapsed_ns, self._endpoint.in_flight))
 
     def _reject(self, status: bytes) -> None:
@@ -157,11 +159,11 @@
 async def _serve(backend: Backend, listeners: int) -> None:
     input_ended = asyncio.Event()
 
-    def read() -> None:
+    def read_input() -> None:
         if not os.read(sys.stdin.fileno(), 4096):
             input_ended.set()
 
-    asyncio.get_running_loop().add_reader(sys.stdin, read)
+    asyncio.get_running_loop().add_reader(sys.stdin, read_input)
     print(json.dumps(await backend.start(listeners)), flush=True)
     await input_ended.wait()
     asyncio.get_running_loop().remove_reader(sys.stdin)
@@ -172,9 +174,9 @@
 @click.argument("listeners", type=click.IntRange(1, 65_024))
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--mean-ms", type=click.FloatRange(0, min_open=True), default=10.0, show_default=True)
-@click.option("--column", "columns", multiple=True, type=click.Choice(sorted(REPORTS)))
+@click.option("--column", "columns", multiple=True, type=click.Choice(sorted(COLUMN_VALUES)))
 def main(listeners: int, seed: int, mean_ms: float, columns: tuple[str, ...]) -> None:
-    """Respond as LISTENERS endpoints until standard input ends."""
+    """Serve requests at the addresses of LISTENERS endpoints until standard input ends."""
     uvloop.run(_serve(Backend(seed, mean_ms / 1e3, columns), listeners))
 
 
--- a/scale/child_process.py
+++ b/scale/child_process.py
@@ -1,4 +1,4 @@
-"""Programs of this package as child processes."""
+"""Starts modules of this package as child processes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 __all__ = ["module_process", "read_json_line"]
 
 MAX_LINE_BYTES = 1 << 26
-"""Longest line that a child process writes."""
+"""Maximum length of a line that a child process writes."""
 
 
 @asynccontextmanager
 async def module_process(module: str, *arguments: str) -> AsyncIterator[asyncio.subprocess.Process]:
-    """`python -m MODULE ARGUMENTS` with pipes for standard input and output; it is killed with the block."""
+    """Run `python -m MODULE ARGUMENTS`, standard input and output piped; kill it at the end of the block."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -39,9 +39,9 @@
 
 
 async def read_json_line(process: asyncio.subprocess.Process) -> Any:
-    """The next line of its standard output.  Raises RuntimeError where it has ended."""
+    """Read and decode the next line of its standard output.  Raises RuntimeError if the output has ended."""
     assert process.stdout is not None
     line = await process.stdout.readline()
     if not line:
-        raise RuntimeError("a child process has ended")
+        raise RuntimeError("the standard output of a child process has ended")
     return json.loads(line)
--- a/scale/demo.py
+++ b/scale/demo.py
@@ -1,7 +1,8 @@
-"""`python -m scale.demo`: one request through a real gateway process, with stand-ins around it.
+"""`python -m scale.demo`: sends one request through a real gateway process to a mock endpoint.
 
-The stand-ins of discovery and of the only endpoint run in this process, the gateway in its own, as `run` in
-deploy/balancer.toml starts it.  All of them listen on free loopback ports and end with the demo.
+The mock discovery server and the only endpoint run in this process.  The gateway runs in a process of its
+own, started by the `run` command of deploy/balancer.toml.  All of them listen on free loopback ports and end
+with the demo.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from scale.registry import Registry
 
 LIMIT_S = 14.0
-"""Longest time until the response, seconds; with the shutdown the demo takes less than 20."""
-SHUTDOWN_S = 5.0
-"""Longest wait for the gateway's graceful shutdown, seconds; it is killed after that."""
-POLL_S = 0.05
-"""Time between two requests for the gateway's readiness, seconds."""
-DEADLINE_MS = 3000
-"""Time that the request gives the gateway, milliseconds; long enough for a busy machine."""
+"""Maximum time from the start to the response, seconds; including the shutdown the demo takes less than 20."""
+SHUTDOWN_TIMEOUT_S = 5.0
+"""Maximum duration of the gateway's graceful shutdown, seconds; after that the process is killed."""
+POLL_INTERVAL_S = 0.05
+"""Interval of the gateway's readiness checks, seconds."""
+REQUEST_TIMEOUT_MS = 3000
+"""Timeout of the request, milliseconds; long enough for a busy machine."""
 REQUEST_ID = "demo-1"
 
 REQUEST = (
@@ -38,7 +39,7 @@
     f"X-Request-ID: {REQUEST_ID}\r\n"
     "X-Priority-Class: read\r\n"
     "X-Tenant-Id: tenant-0\r\n"
-    f"X-Timeout-Ms: {DEADLINE_MS}\r\n"
+    f"X-Timeout-Ms: {REQUEST_TIMEOUT_MS}\r\n"
     "Connection: close\r\n"
     "\r\n"
 )
@@ -46,14 +47,14 @@
 
 
 class DemoError(Exception):
-    """The request was not served."""
+    """The request was not served with status 200, or the gateway ended early."""
 
 
 def write_config(path: Path, registry: Registry, fleet: Fleet) -> dict[str, str]:
-    """Write the gateway's configuration file; returns the environment that names it."""
+    """Write the gateway's configuration file; return the environment variables that select it."""
     configuration = make_configuration(fleet, gateways=1, discovery=registry.address)
     for request_class in configuration["settings"]["request-classes"]:
-        request_class["give-up-ns"] = DEADLINE_MS * 1_000_000
+        request_class["give-up-ns"] = REQUEST_TIMEOUT_MS * 1_000_000
     path.write_text(json.dumps(configuration))
     return {
         "EDGE_NAME": configuration["name"],
@@ -66,7 +67,7 @@
 
 @asynccontextmanager
 async def running_gateway(environment: dict[str, str]) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Start a gateway process, its log on a pipe; it is shut down with the block."""
+    """Start a gateway process with its log on a pipe; shut it down at the end of the block."""
     process = await asyncio.create_subprocess_exec(
         *deployed_command(),
         cwd=ROOT,
@@ -83,14 +84,14 @@
     with suppress(ProcessLookupError):
         process.send_signal(signal.SIGTERM)
     try:
-        await asyncio.wait_for(process.wait(), SHUTDOWN_S)
+        await asyncio.wait_for(process.wait(), SHUTDOWN_TIMEOUT_S)
     except TimeoutError:
         process.kill()
         await process.wait()
 
 
 async def read_log_until(log: asyncio.StreamReader, text: str) -> str:
-    """The first line of the gateway's log that contains `text`.  Raises DemoError if the log ends before."""
+    """Return the first log line that contains `text`.  Raises DemoError if the log ends without one."""
     line = ""
     async for data in log:
         line = data.decode().rstrip()
@@ -100,7 +101,7 @@
 
 
 async def exchange(address: str, request: str) -> str:
-    """Send one request on a connection of its own; returns the response as text."""
+    """Send one request on a new connection; return the response as text."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -111,16 +112,16 @@
 
 
 async def wait_until_ready(address: str) -> str:
-    """The status line of the first successful readiness check."""
+    """Check readiness until it succeeds; return the status line of that response."""
     while True:
         status_line = (await exchange(address, READINESS_REQUEST)).partition("\r\n")[0]
         if " 200 " in status_line:
             return status_line
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def show_request(process: asyncio.subprocess.Process) -> None:
-    """Send the request and print what happens.  Raises DemoError if it is not served."""
+    """Send the request; print request, response and trace.  Raises DemoError if it is not served."""
     assert process.stderr is not None
     address = (await read_log_until(process.stderr, "listening on")).split()[-1]
     print(f"gateway: process {process.pid} listens on {address}")
@@ -138,15 +139,15 @@
 
 
 async def run_demo() -> None:
-    """Start everything, show one request, end everything.  Raises DemoError or OSError."""
+    """Start all servers, send and print one request, stop all servers.  Raises DemoError or OSError."""
     backend = Backend(seed=1, mean_s=0.01, columns=("utilization", "outstanding"))
     addresses = await backend.start(1)
     try:
         fleet = Fleet(1, 1, 1, lambda number: addresses[number % len(addresses)])
         registry = await Registry(fleet.rows.values()).start()
         try:
-            with tempfile.TemporaryDirectory() as folder:
-                environment = write_config(Path(folder) / "config.json", registry, fleet)
+            with tempfile.TemporaryDirectory() as directory:
+                environment = write_config(Path(directory) / "config.json", registry, fleet)
                 async with running_gateway(environment) as process, asyncio.timeout(LIMIT_S):
                     await show_request(process)
         finally:
@@ -156,7 +157,7 @@
 
 
 def main() -> int:
-    """0 if the request was served, else 1 with one plain line on standard error."""
+    """Run the demo; return 0 if the request was served, else 1 with one line on standard error."""
     try:
         asyncio.run(run_demo())
     except TimeoutError:
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -1,4 +1,4 @@
-"""A synthetic fleet: the rows of its endpoint list, their changes, and a configuration to go with them."""
+"""A synthetic fleet: its endpoint list, changes of that list, and a matching gateway configuration."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 MACHINE_TYPES = ("node-fast", "node-std")
 ENDPOINTS_PER_CELL = 6
-TENANT_SKEW = 0.8
-"""Exponent of the tenants' shares: that of the n-th largest is in proportion to n ** -TENANT_SKEW."""
+TENANT_SHARE_EXPONENT = 0.8
+"""Exponent of the power law of tenant shares: the n-th largest is proportional to n ** -TENANT_SHARE_EXPONENT."""
 QUOTA_PER_ENDPOINT = 40.0
-"""Requests a second for each endpoint that the tenants' quotas add up to."""
+"""Sum of the tenants' quotas divided by the number of endpoints, requests per second."""
 
-CAPS = {
+LIMITS = {
     "cancel": True,
     "max-attempts": 4,
     "may-duplicate": False,
@@ -28,7 +28,7 @@
     "retry-after": True,
     "max-retry-after-ns": 1_000_000_000,
 }
-"""The limits of a gateway, in the form of the wire."""
+"""The `caps` of the settings, in wire format."""
 REQUEST_CLASSES = [
     {
         "name": "read",
@@ -47,11 +47,11 @@
         "window-ns": 2_000_000_000,
     },
 ]
-"""In the form of the wire."""
+"""The `request-classes` of the settings, in wire format."""
 
 
 class EndpointRow(TypedDict):
-    """An entry of the endpoint list, in the form in which discovery publishes it."""
+    """An entry of the endpoint list, as discovery publishes it."""
 
     instanceId: str
     hostPort: str
@@ -62,14 +62,14 @@
     """`in_service`, `terminating` or `terminated`."""
     weight: float
     startedAtMs: int
-    """Unix time in ms; 0 for long ago."""
+    """Unix time of the start in ms; 0 means long ago."""
 
 
 class Fleet:
-    """Endpoints spread evenly over zones.  The same seed and calls give the same rows, start times aside.
+    """Endpoints spread evenly over zones.  Equal seeds and calls give equal rows, except for start times.
 
-    `rows` holds the present list by instanceId.  Each change returns the rows that it changed, those of
-    endpoints that have gone as `terminated`; a row is replaced and never altered.
+    `rows` holds the current list by instanceId.  Each change returns the rows that it changed, with lifecycle
+    `terminated` for removed endpoints.  Rows are never modified in place, only replaced.
     """
 
     def __init__(
@@ -80,8 +80,9 @@
         address: Callable[[int], str] | None = None,
         clock: Callable[[], float] = time.time,
     ) -> None:
-        """`address` gives the hostPort of the n-th endpoint ever; `clock` the Unix time, in s, of a start.
+        """Create the endpoints.
 
+        `address` gives the hostPort of the n-th endpoint that was ever created, `clock` the Unix time in seconds.
         Raises ValueError for less than one endpoint or zone.
         """
         if endpoints < 1 or zones < 1:
@@ -91,28 +92,28 @@
         self._random = Random(seed)
         self._address = address or _default_address
         self._clock = clock
-        self._created = 0
-        self._used: set[str] = set()
-        self._lost: dict[str, list[EndpointRow]] = {}  # by zone, as they were before
+        self._created_count = 0
+        self._used_ids: set[str] = set()
+        self._lost_rows: dict[str, list[EndpointRow]] = {}  # by zone, as they were before `lose_zone`
         for index in range(endpoints):
             self._add(self.zones[index % zones], 0)
 
     def _add(self, zone: str, started_ms: int) -> EndpointRow:
         name = f"s-{self._random.getrandbits(32):08x}"
-        while name in self._used:
+        while name in self._used_ids:
             name = f"s-{self._random.getrandbits(32):08x}"
-        self._used.add(name)
+        self._used_ids.add(name)
         row = self.rows[name] = {
             "instanceId": name,
-            "hostPort": self._address(self._created),
+            "hostPort": self._address(self._created_count),
             "zone": zone,
             "machineType": self._random.choice(MACHINE_TYPES),
-            "cell": self._created // ENDPOINTS_PER_CELL & 0xFFFF,
+            "cell": self._created_count // ENDPOINTS_PER_CELL & 0xFFFF,
             "lifecycle": "in_service",
             "weight": 1.0,
             "startedAtMs": started_ms,
         }
-        self._created += 1
+        self._created_count += 1
         return row
 
     def _sample_ready(self, count: int) -> list[EndpointRow]:
@@ -120,27 +121,27 @@
         return self._random.sample(ready, min(count, len(ready)))
 
     def replace(self, count: int) -> list[EndpointRow]:
-        """So many ready endpoints go, and as many new ones start in their zones."""
+        """Remove so many ready endpoints and start as many new ones in the same zones."""
         old = self._sample_ready(count)
         gone = self._remove(old)
         return gone + [self._add(row["zone"], self._now_ms()) for row in old]
 
     def drain(self, count: int) -> list[EndpointRow]:
-        """So many ready endpoints begin to drain."""
+        """Start to drain so many ready endpoints."""
         changed = [_with_lifecycle(row, "terminating") for row in self._sample_ready(count)]
         self.rows.update((row["instanceId"], row) for row in changed)
         return changed
 
     def lose_zone(self, zone: str) -> list[EndpointRow]:
-        """All endpoints of a zone go.  Raises KeyError for a zone that the fleet doesn't have."""
+        """Remove all endpoints of a zone.  Raises KeyError for an unknown zone."""
         lost = self._in_zone(zone)
-        self._lost[zone] = self._lost.get(zone, []) + lost
+        self._lost_rows[zone] = self._lost_rows.get(zone, []) + lost
         return self._remove(lost)
 
     def restore_zone(self, zone: str) -> list[EndpointRow]:
-        """The lost endpoints of a zone come back, newly started.  Raises KeyError as `lose_zone` does."""
+        """Restart the endpoints that `lose_zone` removed from a zone.  Raises KeyError for an unknown zone."""
         self._in_zone(zone)
-        changed = [_with_lifecycle(row, "in_service") for row in self._lost.pop(zone, [])]
+        changed = [_with_lifecycle(row, "in_service") for row in self._lost_rows.pop(zone, [])]
         for row in changed:
             row["startedAtMs"] = self._now_ms()
         self.rows.update((row["instanceId"], row) for row in changed)
@@ -159,7 +160,7 @@
 
 
 def _with_lifecycle(row: EndpointRow, lifecycle: str) -> EndpointRow:
-    """A copy of the row with another lifecycle."""
+    """Return a copy of the row with another lifecycle."""
     changed = row.copy()
     changed["lifecycle"] = lifecycle
     return changed
@@ -170,12 +171,16 @@
 
 
 def _make_tenants(count: int, quota_per_s: float) -> list[dict[str, Any]]:
-    """Rows of `realms` of uneven size, the largest first; shares add up to 1 and quotas to `quota_per_s`."""
-    parts = [(index + 1) ** -TENANT_SKEW for index in range(count)]
-    total = sum(parts)
+    """Return rows of `realms`, largest share first; shares add up to 1 and quotas to `quota_per_s`."""
+    share_weights = [(index + 1) ** -TENANT_SHARE_EXPONENT for index in range(count)]
+    total = sum(share_weights)
     return [
-        {"name": f"tenant-{index}", "allowance-per-s": quota_per_s * part / total, "portion": part / total}
-        for index, part in enumerate(parts)
+        {
+            "name": f"tenant-{index}",
+            "allowance-per-s": quota_per_s * share_weight / total,
+            "portion": share_weight / total,
+        }
+        for index, share_weight in enumerate(share_weights)
     ]
 
 
@@ -187,7 +192,7 @@
     pushed: bool = False,
     poll_interval_s: float = 10.0,
 ) -> dict[str, Any]:
-    """The settings of gateway `number` of so many, in the form of the wire."""
+    """Return the settings of gateway `number` out of `gateways`, in wire format."""
     return {
         "az": number % len(fleet.zones),
         "zones": list(fleet.zones),
@@ -201,7 +206,7 @@
         "load-report": {"columns": ["utilization", "outstanding"], "source": "inline"},
         "realms": _make_tenants(tenants, QUOTA_PER_ENDPOINT * len(fleet.rows)),
         "over-share-worth": 0.05,
-        "caps": dict(CAPS),
+        "caps": dict(LIMITS),
         "rules": {
             "answer-slack-ns": 16_000_000,
             "ask-within-ns": int(poll_interval_s * SECOND),
@@ -228,7 +233,7 @@
     memory_mb: int = 2048,
     **settings: Any,
 ) -> dict[str, Any]:
-    """The content of one gateway's EDGE_CONFIG, with the present list as the cached one.
+    """Return the content of a gateway's EDGE_CONFIG, with the current endpoint list as the cached list.
 
     `settings` are further arguments of `make_settings`.
     """
