--- a/scale/backend.py
+++ b/scale/backend.py
@@ -30,7 +30,7 @@
     "backlog": lambda _: 0,
     "utilization": lambda in_flight: round(min(1.0, in_flight / FULL_UTILIZATION_IN_FLIGHT), 3),
 }
-"""Supported columns of a load report, each with the function of the requests in flight that gives its value."""
+"""Supported columns of a load report, each with its value as a function of the requests in flight."""
 
 
 class UnknownColumnError(ValueError):
@@ -38,7 +38,7 @@
 
 
 def listener_address(number: int) -> str:
-    """Return the IPv4 address of listener `number` (0 to 65,023): in 127.64.0.0/16, not ending in .0 or .255."""
+    """Return the IPv4 address of listener `number` (0 to 65,023), in 127.64.0.0/16 without .0 and .255."""
     return f"127.64.{number // 254}.{number % 254 + 1}"
 
 
@@ -80,7 +80,7 @@
         return random.Random(b"%d:%b" % (self._seed, request_id)).expovariate(1 / self._mean_s)
 
     def response(self, request_id: bytes, elapsed_ns: int, in_flight: int) -> bytes:
-        """Return a complete 200 response; `Server-Timing` has the time spent in the endpoint, milliseconds."""
+        """Return a complete 200 response; `Server-Timing` has the time in the endpoint, milliseconds."""
         body = b"served " + request_id
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nServer-Timing: app;dur=%.6f\r\n" % (
             len(body),
@@ -110,9 +110,7 @@
         self._service_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not derive from asyncio.Transport
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base class
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio.Protocol
         if self._service_timer is not None:
--- a/scale/demo.py
+++ b/scale/demo.py
@@ -24,7 +24,7 @@
 from scale.registry import Registry
 
 LIMIT_S = 14.0
-"""Maximum time from the start to the response, seconds; including the shutdown the demo takes less than 20."""
+"""Maximum time until the response, seconds; including the shutdown the demo takes less than 20."""
 SHUTDOWN_TIMEOUT_S = 5.0
 """Maximum duration of the gateway's graceful shutdown, seconds; after that the process is killed."""
 POLL_INTERVAL_S = 0.05
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -14,7 +14,7 @@
 MACHINE_TYPES = ("node-fast", "node-std")
 ENDPOINTS_PER_CELL = 6
 TENANT_SHARE_EXPONENT = 0.8
-"""Exponent of the power law of tenant shares: the n-th largest is proportional to n ** -TENANT_SHARE_EXPONENT."""
+"""Exponent of the tenants' shares: the n-th largest is proportional to n ** -TENANT_SHARE_EXPONENT."""
 QUOTA_PER_ENDPOINT = 40.0
 """Sum of the tenants' quotas divided by the number of endpoints, requests per second."""
 
@@ -82,7 +82,7 @@
     ) -> None:
         """Create the endpoints.
 
-        `address` gives the hostPort of the n-th endpoint that was ever created, `clock` the Unix time in seconds.
+        `address` gives the hostPort of the n-th endpoint ever created, `clock` the Unix time in seconds.
         Raises ValueError for less than one endpoint or zone.
         """
         if endpoints < 1 or zones < 1:
@@ -139,7 +139,7 @@
         return self._remove(lost)
 
     def restore_zone(self, zone: str) -> list[EndpointRow]:
-        """Restart the endpoints that `lose_zone` removed from a zone.  Raises KeyError for an unknown zone."""
+        """Restart the endpoints of a zone after `lose_zone`.  Raises KeyError for an unknown zone."""
         self._in_zone(zone)
         changed = [_with_lifecycle(row, "in_service") for row in self._lost_rows.pop(zone, [])]
         for row in changed:
--- a/scale/headless.py
+++ b/scale/headless.py
@@ -1,6 +1,6 @@
-"""Headless gateways: the gateway's own path from discovery to the balancer, without clients.
+"""Headless gateways: discovery client, upstream and balancer of the gateway, without clients.
 
-Discovery's client, the endpoints' connections and the balancer are the gateway's; they are timed here.
+The code is the gateway's own; subclasses here measure how long updates of the endpoint list take in it.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 __all__ = ["HeadlessGateway", "UpdateTimes"]
 
 MAX_CONNECTIONS = 400
-"""Connections to endpoints that each may have; it opens none."""
+"""Limit of connections to endpoints for each gateway; a headless gateway opens none."""
 
 
 class UpdateTimes:
-    """CPU time of this process, in ns, that updates of the endpoint list took, and the longest stall."""
+    """CPU time of this process that updates of the endpoint list took, and the longest event loop stall."""
 
     def __init__(self) -> None:
         self.receive_ns = 0
-        """Reading and parsing, with all that follows from it."""
+        """CPU time of handling received data, ns: reading, parsing, applying, balancer."""
         self.upstream_ns = 0
-        """Applying to the connections."""
+        """CPU time of applying the list to the connections, ns."""
         self.balancer_ns = 0
-        """Handling by the balancer."""
+        """CPU time of handling the list in the balancer, ns."""
         self.longest_stall_ns = 0
-        """Of the wall clock: the longest time without a turn of the event loop, for one piece received."""
+        """Longest wall-clock time that the event loop was blocked by one piece of received data, ns."""
 
-    def take(self) -> dict[str, float]:
-        """The figures in ms; all count from 0 again.
+    def read_and_reset(self) -> dict[str, float]:
+        """Return the figures in ms and reset them to 0.
 
-        Their names are those of the records: `module` is the balancer, `hold` the longest stall.
+        Their names are those of the stored records: `module` is the balancer, `hold` the longest stall.
         """
         figures = {
             "parse_ms": (self.receive_ns - self.upstream_ns - self.balancer_ns) / MS,
@@ -52,30 +52,30 @@
 
 
 class _TimedUpstream(Upstream):
-    """Records the time that applying a list takes."""
+    """Measures the CPU time of applying a list to the connections."""
 
     times: UpdateTimes
 
     def apply_endpoint_list(self, is_snapshot: bool, listed: Any) -> None:
-        begun_ns = process_time_ns()
+        started_ns = process_time_ns()
         super().apply_endpoint_list(is_snapshot, listed)
-        self.times.upstream_ns += process_time_ns() - begun_ns
+        self.times.upstream_ns += process_time_ns() - started_ns
 
 
 class _TimedCall(DiscoveryCall):
-    """Records the time that each piece of a response takes."""
+    """Measures CPU time and wall-clock time of handling each piece of a response."""
 
     times: UpdateTimes
 
     def data_received(self, data: bytes) -> None:
-        times, begun_ns, wall_begun_ns = self.times, process_time_ns(), monotonic_ns()
+        times, started_ns, wall_started_ns = self.times, process_time_ns(), monotonic_ns()
         super().data_received(data)
-        times.receive_ns += process_time_ns() - begun_ns
-        times.longest_stall_ns = max(times.longest_stall_ns, monotonic_ns() - wall_begun_ns)
+        times.receive_ns += process_time_ns() - started_ns
+        times.longest_stall_ns = max(times.longest_stall_ns, monotonic_ns() - wall_started_ns)
 
 
 class _TimedDiscovery(Discovery):
-    """Its calls are timed."""
+    """A discovery client that makes timed calls."""
 
     times: UpdateTimes
 
@@ -87,18 +87,18 @@
 
 
 class _TimedBalancer(Balancer):
-    """Records the time that handling a list takes."""
+    """Measures the CPU time of handling a list in the balancer."""
 
     times: UpdateTimes
 
     def on_endpoint_list(self, now_ns: int, kind: UpdateKind, entries: Sequence[EndpointEntry]) -> None:
-        begun_ns = process_time_ns()
+        started_ns = process_time_ns()
         super().on_endpoint_list(now_ns, kind, entries)
-        self.times.balancer_ns += process_time_ns() - begun_ns
+        self.times.balancer_ns += process_time_ns() - started_ns
 
 
 class HeadlessGateway:
-    """One gateway without the side of the clients; its parts are connected as in the gateway."""
+    """One gateway without its client side; the other parts are connected as in the gateway."""
 
     def __init__(
         self,
@@ -108,16 +108,16 @@
         seed: int,
         discovery_address: tuple[str, int],
         cached_list: Any,
-        list_taken: asyncio.Event,
+        list_applied: asyncio.Event,
     ) -> None:
-        """`cached_list` is decoded JSON; `list_taken` is set whenever an update is in force."""
+        """Create the parts; `cached_list` is decoded JSON, `list_applied` is set after each update."""
         loop = asyncio.get_running_loop()
         self.times = UpdateTimes()
         self.failed_calls = 0
-        """Calls of discovery that failed, as the gateway counts them."""
+        """Number of failed discovery calls, as the gateway counts them."""
         self._cached_list = cached_list
-        self._list_taken = list_taken
-        self._in_force_ns: list[tuple[int, int]] = []  # generations, and when each was in force
+        self._list_applied = list_applied
+        self._in_force_ns: list[tuple[int, int]] = []  # each generation, and when it was applied
         self._timers = Timers(loop)
         self._dispatcher = Dispatcher(settings, seed, self._timers, (), self._make_balancer)
         self._upstream = _TimedUpstream(
@@ -145,18 +145,18 @@
         return balancer
 
     def _on_endpoint_list(self, kind: UpdateKind, listed: list[ListedEndpoint]) -> None:
-        # No other event is being handled, so the balancer has applied it when this returns.
+        # No other event is being handled, so the balancer has applied the list when this call returns.
         self._dispatcher.on_endpoint_list(kind, listed)
         if kind is UpdateKind.FAILED:
             self.failed_calls += 1
         elif kind is not UpdateKind.CACHED:
             self._in_force_ns.append((self._discovery.generation, monotonic_ns()))
-            self._list_taken.set()
+            self._list_applied.set()
 
     def start(self) -> None:
-        """Apply the cached list and call discovery."""
+        """Apply the cached list and start the discovery client."""
         self._discovery.load_cached_list(self._cached_list)
-        self.times.take()  # only what discovery itself sends is counted
+        self.times.read_and_reset()  # the cached list is not measured, only what discovery sends
         self._discovery.start()
         self._sweep(None)
 
@@ -166,5 +166,8 @@
         self._timers.call_after(SWEEP, self._sweep, None)
 
     def in_force_ns(self, generation: int) -> int | None:
-        """When (monotonic, ns) this generation, or a later one, was in force; None if it is not yet."""
-        return next((at_ns for taken, at_ns in self._in_force_ns if taken >= generation), None)
+        """Return when (monotonic, ns) this generation or a later one was applied; None if it is not yet."""
+        return next(
+            (at_ns for applied_generation, at_ns in self._in_force_ns if applied_generation >= generation),
+            None,
+        )
--- a/scale/headless_pool.py
+++ b/scale/headless_pool.py
@@ -1,4 +1,4 @@
-"""The starter of headless gateways: many in several processes, and commands to all of them at once."""
+"""Starts headless gateways in several worker processes and sends commands to all of them at once."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 __all__ = ["WorkerPool"]
 
 RESPONSE_TIMEOUT_S = 90.0
-"""Longest wait for the response to a command."""
+"""Maximum wait for the responses to a command, seconds."""
 
 
 class WorkerPool:
-    """Processes of headless gateways; as a context manager it ends them."""
+    """Worker processes of headless gateways; the context manager kills them on exit."""
 
     def __init__(self) -> None:
         self.processes: list[asyncio.subprocess.Process] = []
-        self._folder = tempfile.TemporaryDirectory()
+        self._directory = tempfile.TemporaryDirectory()
 
     async def __aenter__(self) -> WorkerPool:
         return self
 
     async def __aexit__(self, *_: object) -> None:
         await self.end()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
     async def launch(self, configuration: dict[str, Any], gateways: int, processes: int = 1) -> None:
-        """Launch so many gateways over so many processes, and wait until each is able to start."""
-        path = Path(self._folder.name) / "config.json"
+        """Create so many gateways in so many processes, and wait until all can be started."""
+        path = Path(self._directory.name) / "config.json"
         path.write_text(json.dumps(configuration))
         for first in range(min(processes, gateways)):
             numbers = range(first, gateways, processes)
@@ -51,28 +51,28 @@
                     limit=MAX_LINE_BYTES,
                 )
             )
-        await self._command("spent")
+        await self._send_command("spent")
 
     async def start(self) -> int:
-        """Start all gateways; returns when (monotonic, ns) the first one was started."""
-        begun_ns: list[int] = [response["begun_ns"] for response in await self._command("start")]
-        return min(begun_ns)
+        """Start all gateways; return when (monotonic, ns) the first one was started."""
+        started_ns: list[int] = [response["begun_ns"] for response in await self._send_command("start")]
+        return min(started_ns)
 
     async def in_force_ns(self, generation: int) -> list[int]:
-        """When (monotonic, ns) this generation was in force at each gateway, once it is at every one."""
-        responses = await self._command("await", generation=generation)
+        """Wait until every gateway has applied this generation; return when (monotonic, ns) each did."""
+        responses = await self._send_command("await", generation=generation)
         return [at_ns for response in responses for at_ns in response["in_force_ns"]]
 
     async def take_figures(self) -> dict[str, float]:
-        """Sums over the processes since the last such call; of the stalls (`hold_ms`) the longest."""
-        responses = await self._command("spent")
+        """Return the figures since the last call, summed over processes; `hold_ms` is the longest stall."""
+        responses = await self._send_command("spent")
         return {
-            **{name: sum(each[name] for each in responses) for name in responses[0]},
-            "hold_ms": max(each["hold_ms"] for each in responses),
+            **{name: sum(response[name] for response in responses) for name in responses[0]},
+            "hold_ms": max(response["hold_ms"] for response in responses),
         }
 
     async def end(self) -> None:
-        """End all at once, by SIGKILL."""
+        """Kill all processes (SIGKILL) and wait for them."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -80,19 +80,19 @@
             await process.wait()
         self.processes.clear()
 
-    async def _command(self, name: str, **arguments: Any) -> list[dict[str, Any]]:
-        """Send a command to all at once; their responses.  Raises RuntimeError where a process has ended."""
+    async def _send_command(self, name: str, **arguments: Any) -> list[dict[str, Any]]:
+        """Send a command to all processes; return the responses.  Raises RuntimeError if one has ended."""
         command = json.dumps({"do": name, **arguments}).encode() + b"\n"
-        responses = asyncio.gather(*(self._respond(process, command) for process in self.processes))
+        responses = asyncio.gather(*(self._exchange(process, command) for process in self.processes))
         return list(await asyncio.wait_for(responses, RESPONSE_TIMEOUT_S))
 
     @staticmethod
-    async def _respond(process: asyncio.subprocess.Process, command: bytes) -> dict[str, Any]:
+    async def _exchange(process: asyncio.subprocess.Process, command: bytes) -> dict[str, Any]:
         assert process.stdin is not None
         assert process.stdout is not None
         process.stdin.write(command)
         line = await process.stdout.readline()
         if not line:
-            raise RuntimeError("a process of headless gateways has ended")
+            raise RuntimeError("a worker process of headless gateways has ended")
         response: dict[str, Any] = json.loads(line)
         return response
--- a/scale/headless_worker.py
+++ b/scale/headless_worker.py
@@ -1,7 +1,7 @@
-"""A process of headless gateways: `python -m scale.headless_worker CONFIGURATION NUMBERS`.
+"""A worker process of headless gateways: `python -m scale.headless_worker CONFIGURATION NUMBERS`.
 
-It reads commands from standard input, one JSON object a line, and responds to each with a line on standard
-output.  It ends when its standard input does.
+It reads commands from standard input, one JSON object per line, and writes one line to standard output in
+response to each.  It exits when its standard input ends.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 __all__ = ["MAX_LINE_BYTES", "MIB", "Worker"]
 
 MAX_LINE_BYTES = 64 << 20
-"""Longest line of a command or a response."""
+"""Maximum length of a command or a response."""
 MIB = 2**20
 
 
 class Worker:
-    """The headless gateways of one process, and the commands to them."""
+    """The headless gateways of one process; executes commands on them."""
 
     def __init__(self, configuration: dict[str, Any], numbers: Sequence[int]) -> None:
-        self._list_taken = asyncio.Event()
+        self._list_applied = asyncio.Event()
         settings = configuration["settings"]
         host, _, port = configuration["discovery"].rpartition(":")
         self._gateways = [
@@ -50,41 +50,45 @@
                 number + 1,
                 (host, int(port)),
                 configuration["known"],
-                self._list_taken,
+                self._list_applied,
             )
             for number in numbers
         ]
         self._cpu_ns = process_time_ns()
 
     async def execute(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Execute a command, which is named by its `do`.  Raises KeyError for an unknown one."""
-        commands = {"start": self._start, "await": self._await_generation, "spent": self._take_figures}
+        """Execute the command that the field `do` names.  Raises KeyError for an unknown command."""
+        commands = {
+            "start": self._start,
+            "await": self._await_generation,
+            "spent": self._read_and_reset_figures,
+        }
         return await commands[command["do"]](command)
 
     async def _start(self, _: dict[str, Any]) -> dict[str, Any]:
-        begun_ns = monotonic_ns()
+        started_ns = monotonic_ns()
         for gateway in self._gateways:
             gateway.start()
-        return {"begun_ns": begun_ns}
+        return {"begun_ns": started_ns}
 
     async def _await_generation(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Wait until a generation is in force at every gateway."""
+        """Wait until every gateway has applied a generation; return when each did."""
         generation = command["generation"]
         while any(gateway.in_force_ns(generation) is None for gateway in self._gateways):
-            self._list_taken.clear()
-            await self._list_taken.wait()
+            self._list_applied.clear()
+            await self._list_applied.wait()
         return {"in_force_ns": [gateway.in_force_ns(generation) for gateway in self._gateways]}
 
-    async def _take_figures(self, _: dict[str, Any]) -> dict[str, Any]:
-        """What all have taken since the last such command, and the present memory of the process."""
+    async def _read_and_reset_figures(self, _: dict[str, Any]) -> dict[str, Any]:
+        """Return the figures of all gateways since the last call, and the resident memory of the process."""
         cpu_ns, self._cpu_ns = process_time_ns() - self._cpu_ns, process_time_ns()
-        figures = [gateway.times.take() for gateway in self._gateways]
+        figures = [gateway.times.read_and_reset() for gateway in self._gateways]
         failed_calls = sum(gateway.failed_calls for gateway in self._gateways)
         for gateway in self._gateways:
             gateway.failed_calls = 0
         return {
-            **{name: sum(each[name] for each in figures) for name in figures[0]},
-            "hold_ms": max(each["hold_ms"] for each in figures),
+            **{name: sum(gateway_figures[name] for gateway_figures in figures) for name in figures[0]},
+            "hold_ms": max(gateway_figures["hold_ms"] for gateway_figures in figures),
             "cpu_ms": cpu_ns / MS,
             "failed": failed_calls,
             "rss_mb": psutil.Process().memory_info().rss / MIB,
@@ -98,27 +102,28 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     commands: asyncio.Queue[bytes] = asyncio.Queue()
 
-    async def read() -> None:
+    async def read_commands() -> None:
         while line := await reader.readline():
             commands.put_nowait(line)
 
-    async def serve() -> None:
+    async def execute_commands() -> None:
         while True:
             response = await worker.execute(json.loads(await commands.get()))
             print(json.dumps(response), flush=True)
 
-    # Apart, so that the process ends with its starter even while a command waits for a generation.
+    # Separate tasks, so that the process exits with its parent even while a command waits for a generation.
     done, _ = await asyncio.wait(
-        [loop.create_task(read()), loop.create_task(serve())], return_when=asyncio.FIRST_COMPLETED
+        [loop.create_task(read_commands()), loop.create_task(execute_commands())],
+        return_when=asyncio.FIRST_COMPLETED,
     )
     for task in done:
         task.result()
 
 
 def main(configuration_path: str, numbers: str) -> None:
-    """Run the gateways with these numbers, which commas separate."""
+    """Run the gateways with these numbers, separated by commas."""
     logging.basicConfig(level=logging.ERROR)
-    gc.freeze()  # as the gateway does
+    gc.freeze()  # same settings of the garbage collector as in the gateway
     gc.set_threshold(50_000, 20, 50)
     configuration = json.loads(Path(configuration_path).read_bytes())
     uvloop.run(_run(configuration, [int(number) for number in numbers.split(",")]))
--- a/scale/load.py
+++ b/scale/load.py
@@ -1,7 +1,7 @@
-"""Clients with open arrivals: requests are sent when they are due, whatever is still without a response.
+"""An open-loop load generator: requests are sent when due, however many are still without a response.
 
-As a program (`python -m scale.load HOST:PORT`) it writes a line `begun` as it begins, and its
-samples as one JSON list at the end.
+`python -m scale.load HOST:PORT` writes a line `begun` when it starts, and the samples as one JSON list at the
+end.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 __all__ = ["LoadGenerator", "Sample", "arrival_times", "histogram", "request_bytes"]
 
 TIMEOUT_MARGIN_S = 0.5
-"""A response is awaited so much longer than the request's own timeout."""
+"""Time in addition to the request's timeout for which the client waits for a response, seconds."""
 HEALTH_CHECK = b"GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 MAX_HISTOGRAM_US = 60_000_000
-"""The longest time that a histogram counts; longer ones count as this."""
+"""Upper limit of a histogram, microseconds; longer durations are counted as this value."""
 
 
 class Sample(NamedTuple):
-    """One request: when it was due, sent and done (monotonic ns), its status and the endpoint's own time."""
+    """One request: when it was due, sent and done (monotonic ns), its status and the time in the endpoint."""
 
     request_id: str
     is_health_check: bool
-    """Whether it is a health check of the gateway itself, which no endpoint sees."""
+    """Whether it is a health check of the gateway, which is not forwarded to an endpoint."""
     due_ns: int
     sent_ns: int
     done_ns: int
     status: int
-    """0 where no complete response came."""
+    """Status code; 0 if no complete response was received."""
     endpoint_ns: int
-    """-1 where no endpoint reported its time."""
+    """Time spent in the endpoint, from `Server-Timing`; -1 if none was reported."""
 
     @property
     def added_ns(self) -> int:
-        """The time since the request was due, less the endpoint's own time.
+        """Time from the due time to the response, less the time in the endpoint.
 
-        Counted from the due time, so that a wait for the generator or for earlier requests is not left out
-        (coordinated omission).
+        It counts from the due time so that a delay in the generator or behind earlier requests is included
+        (otherwise: coordinated omission).
         """
         return self.done_ns - self.due_ns - max(self.endpoint_ns, 0)
 
@@ -60,7 +60,7 @@
 
 
 def arrival_times(rate: float, seconds: float, seed: int) -> list[float]:
-    """Due times of a Poisson stream of `rate` requests a second, in seconds from the start."""
+    """Return the due times of Poisson arrivals at `rate` requests per second, in seconds from the start."""
     generator = random.Random(f"arrivals {seed}")
     due, times = generator.expovariate(rate), []
     while due < seconds:
@@ -69,16 +69,16 @@
     return times
 
 
-def histogram(added_ns: Iterable[int]) -> HdrHistogram:
-    """Times in microseconds, rounded down, to three digits; none counts as less than 1 us."""
+def histogram(durations_ns: Iterable[int]) -> HdrHistogram:
+    """Return a histogram in microseconds, rounded down, at least 1, with three significant digits."""
     counts = HdrHistogram(1, MAX_HISTOGRAM_US, 3)
-    for added in added_ns:
-        counts.record_value(min(MAX_HISTOGRAM_US, max(1, added // 1000)))
+    for duration_ns in durations_ns:
+        counts.record_value(min(MAX_HISTOGRAM_US, max(1, duration_ns // 1000)))
     return counts
 
 
 def request_bytes(request_id: str, class_name: str, tenant: str, timeout_ms: int) -> bytes:
-    """A request of a class that is safe to repeat, as the gateway's protocol requires of clients."""
+    """Return a request of a class that is safe to repeat, as the gateway's protocol requires of clients."""
     return (
         f"GET /{class_name} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {request_id}\r\n"
         f"X-Priority-Class: {class_name}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout-Ms: {timeout_ms}\r\n\r\n"
@@ -86,34 +86,37 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """A keep-alive connection of a client: one request at a time."""
+    """A keep-alive connection of a client; it carries one request at a time."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._response: asyncio.Future[_Response] | None = None
         self._endpoint_ns = -1
         self.is_open = False
-        self.response_begun = False
-        """Whether anything of the response has come."""
+        self.response_started = False
+        """Whether any data of the response was received."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base class
         self.is_open = True
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - of the interface
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio.Protocol
         self.is_open = False
         if self._response is not None and not self._response.done():
             self._response.set_exception(ConnectionResetError())
 
     def send(self, request: bytes) -> asyncio.Future[_Response]:
-        """The future of the response; it fails with ConnectionResetError if the connection ends first."""
-        self._endpoint_ns, self.response_begun = -1, False
+        """Send a request; return a future of the response.
+
+        The future fails with ConnectionResetError if the connection closes before the response is complete.
+        """
+        self._endpoint_ns, self.response_started = -1, False
         self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
         return self._response
 
     def data_received(self, data: bytes) -> None:
-        self.response_begun = True
+        self.response_started = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -138,7 +141,7 @@
 
 
 class LoadGenerator:
-    """The clients of one gateway; their requests have this class, tenant and timeout."""
+    """The clients of one gateway; all requests have the same class, tenant and timeout."""
 
     def __init__(self, address: tuple[str, int], class_name: str, tenant: str, timeout_ms: int) -> None:
         self._address = address
@@ -148,27 +151,29 @@
         self.connections_opened = 0
 
     async def run(self, times: Iterable[float], health_check_s: float = 0.0) -> list[Sample]:
-        """Send requests at these times (s from now, ascending); one sample each, in the order of due times.
+        """Send requests at these times (s from now, ascending); return a sample for each, by due time.
 
-        With `health_check_s` above 0 a health check of the gateway is sent at that interval as well, from
-        now to the last request.
+        With `health_check_s` above 0, health checks of the gateway are sent at that interval too, from now to
+        the last request.
         """
-        plan = [(due, False) for due in times]
-        if health_check_s and plan:
-            checks = int(plan[-1][0] / health_check_s) + 1
-            plan += [(number * health_check_s, True) for number in range(checks)]
+        schedule = [(due, False) for due in times]
+        if health_check_s and schedule:
+            checks = int(schedule[-1][0] / health_check_s) + 1
+            schedule += [(number * health_check_s, True) for number in range(checks)]
         start_ns, tasks = time.monotonic_ns(), []
-        for number, (due, is_health_check) in enumerate(sorted(plan)):
+        for number, (due, is_health_check) in enumerate(sorted(schedule)):
             due_ns = start_ns + int(due * SECOND)
             while (wait_ns := due_ns - time.monotonic_ns()) > 0:  # noqa: ASYNC110 - timers may fire early
                 await asyncio.sleep(wait_ns / SECOND)
-            tasks.append(asyncio.create_task(self._sample(f"{number:016x}", is_health_check, due_ns)))
+            tasks.append(
+                asyncio.create_task(self._send_and_measure(f"{number:016x}", is_health_check, due_ns))
+            )
         samples = await asyncio.gather(*tasks)
         for connection in self._idle:
             connection.close()
         return samples
 
-    async def _sample(self, request_id: str, is_health_check: bool, due_ns: int) -> Sample:
+    async def _send_and_measure(self, request_id: str, is_health_check: bool, due_ns: int) -> Sample:
         sent_ns = time.monotonic_ns()
         request = HEALTH_CHECK if is_health_check else request_bytes(request_id, *self._request_fields)
         try:
@@ -187,14 +192,14 @@
         )
 
     async def send(self, request: bytes) -> _Response:
-        """Send on an idle connection, else on a new one; again, once, if the other side closed meanwhile."""
+        """Send on an idle connection, else on a new one; resend once if the idle one has been closed."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
                 try:
                     return await self._send_on(connection, request)
                 except ConnectionResetError:
-                    if connection.response_begun:
+                    if connection.response_started:
                         raise
                     break
         _, connection = await asyncio.get_running_loop().create_connection(_ClientConnection, *self._address)
@@ -205,7 +210,7 @@
         try:
             response = await connection.send(request)
         except asyncio.CancelledError:
-            connection.close()  # the client gives up
+            connection.close()  # the request timed out or was cancelled
             raise
         if connection.is_open:
             self._idle.append(connection)
@@ -217,7 +222,7 @@
 @click.option("--rate", type=click.FloatRange(0, min_open=True), default=86.0, show_default=True)
 @click.option("--seconds", type=click.FloatRange(0, min_open=True), default=12.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--class", "class_name", required=True, help="A class that is safe to repeat.")
+@click.option("--class", "class_name", required=True, help="Request class that is safe to repeat.")
 @click.option("--tenant", required=True)
 @click.option("--timeout-ms", type=click.IntRange(1), default=1000, show_default=True)
 @click.option(
@@ -226,7 +231,7 @@
     type=click.FloatRange(0),
     default=20.0,
     show_default=True,
-    help="Interval of health checks of the gateway; 0: none.",
+    help="Interval of health checks of the gateway; 0 for none.",
 )
 def main(
     address: str,
@@ -238,10 +243,12 @@
     timeout_ms: int,
     health_check_ms: float,
 ) -> None:
-    """Send open arrivals to the gateway at HOST:PORT and write the samples as JSON."""
+    """Send requests with Poisson arrivals to the gateway at HOST:PORT and write the samples as JSON."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise click.BadParameter(f"{address!r} is no address", param_hint="HOST:PORT")
+        raise click.BadParameter(
+            f"{address!r} is not an address of the form HOST:PORT", param_hint="HOST:PORT"
+        )
     generator = LoadGenerator((host, int(port)), class_name, tenant, timeout_ms)
     click.echo("begun")
     times = arrival_times(rate, seconds, seed)
--- a/scale/parsing.py
+++ b/scale/parsing.py
@@ -1,4 +1,4 @@
-"""`python -m scale.parsing FILE`: reads a configuration and prints what that cost, as one line of JSON."""
+"""`python -m scale.parsing FILE`: reads a configuration; prints its CPU time and memory as a line of JSON."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 def measure(path: Path) -> dict[str, float]:
-    """Read it as the gateway does: the file, the table of its tenants, and a balancer with its settings.
+    """Load a configuration as the gateway does: the file, the tenant table, and a balancer with the settings.
 
-    Times in ms of the process's CPU; `taken_mb` is the growth of its resident memory in MiB while all of it
-    is referenced.
+    Times are CPU time of the process in ms; `taken_mb` is the growth of its resident memory in MiB, with all
+    of these objects still referenced.
     """
     process, config_bytes = psutil.Process(), path.stat().st_size
     start_rss = process.memory_info().rss
     read_ms, configuration = _timed(lambda: Configuration.read({"EDGE_CONFIG": str(path)}))
     tenants_ms, tenants = _timed(lambda: TenantTable(configuration.rows, configuration.settings.tenants))
     tenants_bytes = sum(len(bytes(row)) for row in configuration.rows)
-    configuration.rows = []  # as the gateway does
+    configuration.rows = []  # the gateway frees the rows here too
     balancer_ms, balancer = _timed(lambda: Balancer(configuration.settings, 1, cast(Actions, None)))
     end_rss = process.memory_info().rss
-    del balancer, tenants  # their memory is counted until here
+    del balancer, tenants  # referenced until the memory is measured
     return {
         "config_bytes": config_bytes,
         "tenants_bytes": tenants_bytes,
@@ -47,10 +47,10 @@
 
 
 def _timed(call: Callable[[], Result]) -> tuple[float, Result]:
-    """The CPU time of a call in ms, and its result."""
-    begun_ns = process_time_ns()
+    """Call a function; return its CPU time in ms and its result."""
+    started_ns = process_time_ns()
     result = call()
-    return (process_time_ns() - begun_ns) / MS, result
+    return (process_time_ns() - started_ns) / MS, result
 
 
 if __name__ == "__main__":
--- a/scale/records.py
+++ b/scale/records.py
@@ -1,4 +1,4 @@
-"""Records of runs, one JSON line each; their tables, and how fast each figure grows with the size."""
+"""Records of runs, one JSON line each; tables of their figures, and linear fits of figures over sizes."""
 
 from __future__ import annotations
 
@@ -18,40 +18,40 @@
 __all__ = ["Figure", "Fit", "RunRecord", "append", "fit", "format_fits", "format_table"]
 
 EXTRAPOLATION_FACTOR = 10
-"""A fit is evaluated at so many times the largest size that was run, and marked as extrapolated."""
+"""Multiple of the largest size run at which fits are evaluated; the result is marked as extrapolated."""
 MIN_POINTS = 3
-"""Points that a fit needs, at two sizes."""
+"""Minimum number of points of a fit; they must have at least two sizes."""
 
 
 class RunRecord(TypedDict):
-    """One run as it is stored."""
+    """The stored record of one run."""
 
     experiment: str
     size: int
     seed: int
     play: int
-    """The number of the run among those of its size, from 0."""
+    """Number of the run among the runs of its size, from 0."""
     figures: dict[str, float]
-    """By names that end in their units; empty where the run has failed."""
+    """Figures by name, with the unit at the end of the name; empty if the run failed."""
     failed: str
-    """Why it has failed; empty where it has not."""
+    """Reason if the run failed, else empty."""
     git: str
-    """The version, as `git describe` has it."""
+    """Version of the project, from `git describe`."""
     command: list[str]
-    """The arguments of the program."""
+    """Command-line arguments."""
     at: str
-    """Its end in UTC, ISO 8601."""
+    """End of the run in UTC, ISO 8601."""
 
 
 class Figure(NamedTuple):
-    """A figure that a fit gives, and whether its size lies beyond the largest that was run."""
+    """A value predicted by a fit, and whether its size is beyond the largest size that was run."""
 
     value: float
     extrapolated: bool
 
 
 class Fit(NamedTuple):
-    """A straight line through figures over sizes; the spread is the standard error of the slope."""
+    """A linear fit of a figure over sizes; `slope_spread` is the standard error of the slope."""
 
     slope: float
     slope_spread: float
@@ -59,12 +59,12 @@
     largest: float
 
     def at(self, size: float) -> Figure:
-        """The figure at a size."""
+        """Return the predicted value at a size."""
         return Figure(self.intercept + self.slope * size, size > self.largest)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
-    """Least squares.  Raises ValueError for fewer than three points or for one size alone."""
+    """Fit a line by least squares.  Raises ValueError for fewer than three points or only one size."""
     if len(sizes) < MIN_POINTS or len(set(sizes)) < 2 or len(sizes) != len(values):
         raise ValueError("a fit needs three points at two sizes")
     x, y = np.asarray(sizes, float), np.asarray(values, float)
@@ -72,8 +72,8 @@
     slope = float(deviations @ y / (deviations @ deviations))
     intercept = float(y.mean() - slope * x.mean())
     residuals = y - intercept - slope * x
-    spread = float(np.sqrt(residuals @ residuals / (len(x) - 2) / (deviations @ deviations)))
-    return Fit(slope, spread, intercept, float(x.max()))
+    standard_error = float(np.sqrt(residuals @ residuals / (len(x) - 2) / (deviations @ deviations)))
+    return Fit(slope, standard_error, intercept, float(x.max()))
 
 
 def append(
@@ -86,7 +86,7 @@
     figures: dict[str, float],
     failed: str = "",
 ) -> RunRecord:
-    """Append the record of a run to the file, with the version and the time of day; returns it."""
+    """Append the record of a run to the file, with the version and the current time; return the record."""
     record: RunRecord = {
         "experiment": experiment,
         "size": size,
@@ -119,40 +119,40 @@
 
 
 def format_table(records: Iterable[RunRecord]) -> str:
-    """A line for each figure, a column for each size: the median, and the least and most of several runs."""
+    """Format a row per figure and a column per size: the median, and the range if there are several runs."""
     points = _points_by_figure(records)
     sizes = sorted({size for pairs in points.values() for size, _ in pairs})
     rows = []
     for name, pairs in points.items():
         cells = []
         for size in sizes:
-            values = [value for at, value in pairs if at == size]
-            span = f" ({min(values):.4g}..{max(values):.4g})" if len(values) > 1 else ""
-            cells.append(f"{median(values):.4g}{span}" if values else "")
+            values = [value for point_size, value in pairs if point_size == size]
+            value_range = f" ({min(values):.4g}..{max(values):.4g})" if len(values) > 1 else ""
+            cells.append(f"{median(values):.4g}{value_range}" if values else "")
         rows.append([name, *cells])
     return tabulate(rows, ["figure", *map(str, sizes)])
 
 
 def format_fits(records: Iterable[RunRecord]) -> str:
-    """A line for each figure with enough points: slope, spread, and the figure beyond the sizes run."""
+    """Format a row per figure with enough points: slope, its standard error, and an extrapolated value."""
     rows = []
     for name, pairs in _points_by_figure(records).items():
         sizes, values = [size for size, _ in pairs], [value for _, value in pairs]
         if len(pairs) < MIN_POINTS or len(set(sizes)) < 2:
             continue
-        line = fit(sizes, values)
-        extrapolated = line.at(EXTRAPOLATION_FACTOR * line.largest)
+        fitted = fit(sizes, values)
+        extrapolated = fitted.at(EXTRAPOLATION_FACTOR * fitted.largest)
         rows.append(
             [
                 name,
-                f"{line.slope:.4g}",
-                f"{line.slope_spread:.2g}",
-                f"{line.intercept:.4g}",
+                f"{fitted.slope:.4g}",
+                f"{fitted.slope_spread:.2g}",
+                f"{fitted.intercept:.4g}",
                 f"{extrapolated.value:.4g}{' (extrapolated)' if extrapolated.extrapolated else ''}",
             ]
         )
     if not rows:
-        return "no fit: it needs three runs, at two sizes"
+        return "no fit: at least three runs at two sizes are needed"
     return tabulate(
-        rows, ["figure", "a unit of size", "+-", "at 0", f"at {EXTRAPOLATION_FACTOR} x the largest"]
+        rows, ["figure", "per unit of size", "+-", "at 0", f"at {EXTRAPOLATION_FACTOR} x the largest"]
     )
--- a/scale/registry.py
+++ b/scale/registry.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery on real sockets: snapshots, watches, and one queue for all calls."""
+"""A mock discovery server on real sockets: snapshots, watches, and one queue for all calls."""
 
 from __future__ import annotations
 
@@ -18,43 +18,43 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """What the server can do: a call costs one unit, and one more for every `lines_per_call`."""
+    """Throughput of the server: a call costs one unit, and one more for every `lines_per_call` lines."""
 
     calls_per_s: float = 200.0
-    """Units a second."""
+    """Units per second."""
     lines_per_call: float = 500.0
-    """Lines of a response that cost as much as a call."""
+    """Number of lines of a response that cost one unit."""
     queue_timeout_s: float = 3.0
-    """A call that has waited so long in the queue gets 503."""
+    """Maximum time of a call in the queue, seconds; after that it gets 503."""
 
 
 @dataclass
 class Counts:
-    """What has happened so far; watches that began are calls too."""
+    """Counters since the start; the start of a watch counts as a call."""
 
     calls: int = 0
     failures: int = 0
-    """Calls that ended in 503 or a reset, those that came while discovery was down included."""
+    """Calls that ended in 503 or a reset, including those made while discovery was down."""
     snapshots: int = 0
     bytes_written: int = 0
     heartbeat_bytes: int = 0
-    """Those of the empty lines, which come by the clock and not because of a call or a change."""
+    """Bytes of the empty lines that are sent periodically, without a call or a change."""
 
     def update_bytes(self) -> int:
-        """Bytes that were written because of a call or a change."""
+        """Return the number of bytes written for calls and changes."""
         return self.bytes_written - self.heartbeat_bytes
 
 
 @dataclass(eq=False)
 class _Watch:
-    """An open watch, and when (monotonic, ns) each generation was handed to its socket."""
+    """An open watch, and when (monotonic, ns) each generation was written to its socket."""
 
     call: RegistryCall
     written_ns: dict[int, int] = field(default_factory=dict)
 
 
 class _Update(NamedTuple):
-    """What a call gets: an object as JSON text, and what it is."""
+    """The update sent to a call: JSON text, number of rows, and whether it is a snapshot."""
 
     text: bytes
     lines: int
@@ -62,10 +62,10 @@
 
 
 class Registry:
-    """Discovery for any number of gateways, in one process and one event loop.
+    """Mock discovery server for any number of gateways, in one process and one event loop.
 
-    Calls are served in turn.  A response is built only once for all until something changes, so that building
-    it does not stand for the cost of sending it.
+    Calls are served one after another.  A response is cached until the list changes, so that the cost of
+    building it does not distort the cost of sending it.
     """
 
     def __init__(
@@ -76,26 +76,26 @@
         heartbeat_s: float = 2.0,
         generation: int = 1,
     ) -> None:
-        """`history`: so many generations back a watch gets a delta; from older ones it gets a snapshot."""
+        """Create the server; a watch gets a delta up to `history` generations back, else a snapshot."""
         self.rows = {row["instanceId"]: row for row in rows}
         self.generation = generation
         self.counts = Counts()
         self.address = ""
-        """`host:port`, once it is started."""
+        """Address of the server, `host:port`, once it is started."""
         self._capacity = capacity or Capacity()
         self._history: deque[tuple[int, list[EndpointRow]]] = deque(maxlen=history)
-        self._updates: dict[int | None, _Update] = {}  # by the generation after which they begin
+        self._updates: dict[int | None, _Update] = {}  # by generation of the call; None for a fetch
         self._heartbeat_s = heartbeat_s
         self._is_down = False
         self._connections: set[RegistryCall] = set()
         self._watches: dict[RegistryCall, _Watch] = {}
         self._queue: deque[RegistryCall] = deque()
-        self._queue_filled = asyncio.Event()
+        self._queue_not_empty = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> Registry:
-        """Listen; `address` is where."""
+        """Start to listen and set `address`; return this server."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: RegistryCall(self), host, port, backlog=1024)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
@@ -103,7 +103,7 @@
         return self
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel the tasks, abort all connections and stop listening."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -114,16 +114,16 @@
 
     @property
     def watch_count(self) -> int:
-        """How many watches are open."""
+        """Number of open watches."""
         return len(self._watches)
 
     @property
     def queue_length(self) -> int:
-        """How many calls are queued, without the one in service."""
+        """Number of queued calls, without the one being served."""
         return len(self._queue)
 
     def publish(self, changed: Iterable[EndpointRow]) -> int:
-        """Publish a new generation, at once on every watch; returns it."""
+        """Publish a new generation, immediately on every watch; return its number."""
         rows = list(changed)
         self.generation += 1
         self._updates.clear()
@@ -140,13 +140,13 @@
         return self.generation
 
     def written_ns(self, generation: int) -> list[int]:
-        """When (monotonic, ns) this generation was handed to the sockets of the open watches."""
+        """Return when (monotonic, ns) this generation was written to the sockets of the open watches."""
         return [
             watch.written_ns[generation] for watch in self._watches.values() if generation in watch.written_ns
         ]
 
     def take_down(self) -> None:
-        """End the watches and reset the calls, and all that come until `bring_up`."""
+        """Reset all open connections, and reset all new calls until `bring_up`."""
         self._is_down = True
         self.counts.failures += sum(call.is_waiting for call in self._connections)
         self._queue.clear()
@@ -155,55 +155,55 @@
             call.reset()
 
     def bring_up(self) -> None:
-        """Serve calls again."""
+        """Resume serving calls after `take_down`."""
         self._is_down = False
 
     # ---- Events of the calls -----------------------------------------------------------------------
 
     def on_connected(self, call: RegistryCall) -> None:
-        """A connection is open."""
+        """Handle a new connection."""
         self._connections.add(call)
 
     def on_call(self, call: RegistryCall) -> None:
-        """A call has come: it is queued."""
+        """Queue a call, or reset it while discovery is down."""
         self.counts.calls += 1
         if self._is_down:
             self.counts.failures += 1
             call.reset()
             return
-        call.wait(self._capacity.queue_timeout_s)
+        call.start_waiting(self._capacity.queue_timeout_s)
         self._queue.append(call)
-        self._queue_filled.set()
+        self._queue_not_empty.set()
 
-    def on_expired(self, call: RegistryCall) -> None:  # noqa: ARG002 - of the interface
-        """A call has waited too long."""
+    def on_queue_timeout(self, call: RegistryCall) -> None:  # noqa: ARG002 - required by CallOwner
+        """Count a call that reached its queue timeout."""
         self.counts.failures += 1
 
     def on_written(self, size: int) -> None:
-        """So many bytes were written."""
+        """Count written bytes."""
         self.counts.bytes_written += size
 
     def on_connection_lost(self, call: RegistryCall) -> None:
-        """A connection has ended."""
+        """Handle the end of a connection."""
         self._connections.discard(call)
         self._watches.pop(call, None)
 
     # ---- Service -----------------------------------------------------------------------------------
 
     async def _serve(self) -> None:
-        free_s = 0.0  # when what came before is due to end: the sleep may end later, which costs no capacity
+        idle_from_s = 0.0  # when earlier calls are due to finish; a sleep that ends late costs no throughput
         while True:
             if not self._queue:
-                self._queue_filled.clear()
-                await self._queue_filled.wait()
+                self._queue_not_empty.clear()
+                await self._queue_not_empty.wait()
                 continue
             call = self._queue.popleft()
             if not call.is_waiting:
-                continue  # it has failed or gone
-            call.start_service()
-            units = 1 + self._update(call.since).lines / self._capacity.lines_per_call
-            free_s = max(free_s, call.queued_s) + units / self._capacity.calls_per_s
-            await asyncio.sleep(max(0.0, free_s - monotonic()))
+                continue  # it reached its timeout, was reset, or its connection ended
+            call.cancel_queue_timeout()
+            cost = 1 + self._update(call.since).lines / self._capacity.lines_per_call
+            idle_from_s = max(idle_from_s, call.queued_at_s) + cost / self._capacity.calls_per_s
+            await asyncio.sleep(max(0.0, idle_from_s - monotonic()))
             if call.is_waiting:
                 self._respond(call)
 
@@ -219,7 +219,7 @@
         watch.written_ns[self.generation] = monotonic_ns()
 
     def _update(self, since: int | None) -> _Update:
-        """What a call gets: the changes after that generation, or a snapshot."""
+        """Return the changes after generation `since` if they are in the history, else a snapshot."""
         if since not in self._updates:
             oldest = self._history[0][0] - 1 if self._history else self.generation
             if since is not None and oldest <= since <= self.generation:
--- a/scale/registry_call.py
+++ b/scale/registry_call.py
@@ -1,4 +1,4 @@
-"""One connection to the stand-in of discovery: it carries calls one after another, or ends as a watch."""
+"""A connection to the mock discovery server: it carries successive calls, or finally a watch."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 PATH = "/registry/instances"
 MAX_HEAD_BYTES = 16 * 1024
-"""Longest head of a call."""
+"""Maximum length of the head of a call."""
 HEAD_END = b"\r\n\r\n"
-LINGER_NONE = struct.pack("ii", 1, 0)
-"""The SO_LINGER with which a close is a reset."""
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER that makes close() reset the connection."""
 
 
 class CallOwner(Protocol):
-    """What a call reports to the stand-in."""
+    """Events that a call reports to the mock discovery server."""
 
     def on_call(self, call: RegistryCall) -> None:
-        """A call has come."""
+        """Handle a new call."""
 
-    def on_expired(self, call: RegistryCall) -> None:
-        """A call has waited too long and was answered 503."""
+    def on_queue_timeout(self, call: RegistryCall) -> None:
+        """Handle a call that waited too long and gets 503."""
 
     def on_written(self, size: int) -> None:
-        """So many bytes were written."""
+        """Count written bytes."""
 
     def on_connected(self, call: RegistryCall) -> None:
-        """The connection is open."""
+        """Handle a new connection."""
 
     def on_connection_lost(self, call: RegistryCall) -> None:
-        """The connection has ended."""
+        """Handle the end of a connection."""
 
 
 def _response(status: int, body: bytes = b"") -> bytes:
@@ -43,39 +43,39 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """A chunk of a chunked body."""
+    """Encode data as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class RegistryCall(asyncio.Protocol):
-    """A connection, and the call that is open on it."""
+    """A connection, and its current call."""
 
     def __init__(self, owner: CallOwner) -> None:
         self.since: int | None = None
-        """The generation after which a watch begins; None for a fetch of a snapshot."""
+        """Generation after which a watch begins; None for a fetch of a snapshot."""
         self.is_waiting = False
-        """Whether it waits for its response."""
+        """Whether the call waits for its response."""
         self.is_watch = False
-        """Whether it has become a watch, which stays open."""
-        self.queued_s = 0.0
-        """When it began to wait, on the monotonic clock, seconds."""
+        """Whether the call is a watch, which stays open."""
+        self.queued_at_s = 0.0
+        """When the call was queued, on the monotonic clock, seconds."""
         self._owner = owner
         self._received = bytearray()
-        self._expiry: asyncio.TimerHandle | None = None
+        self._queue_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base
+        """Report the new connection to the owner."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports have another base class
         self._owner.on_connected(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - of the interface
-        """The connection has ended."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - required by asyncio.Protocol
+        """Stop waiting, and report the end of the connection to the owner."""
         self.stop_waiting()
         self._owner.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
-        """A part of a head has come."""
+        """Collect the head of a call; handle it once it is complete."""
         self._received += data
         if self.is_waiting or self.is_watch:
             return
@@ -97,47 +97,47 @@
         self.since = int(since) if is_watch else None
         self._owner.on_call(self)
 
-    def wait(self, timeout_s: float) -> None:
-        """Wait in the queue; 503 after `timeout_s` seconds."""
-        self.is_waiting, self.queued_s = True, monotonic()
-        self._expiry = asyncio.get_running_loop().call_later(timeout_s, self._expire)
+    def start_waiting(self, timeout_s: float) -> None:
+        """Start to wait in the queue; the call gets 503 after `timeout_s` seconds."""
+        self.is_waiting, self.queued_at_s = True, monotonic()
+        self._queue_timer = asyncio.get_running_loop().call_later(timeout_s, self._on_queue_timeout)
 
-    def _expire(self) -> None:
+    def _on_queue_timeout(self) -> None:
         self.stop_waiting()
-        self._owner.on_expired(self)
+        self._owner.on_queue_timeout(self)
         self.write(_response(503))
 
-    def start_service(self) -> None:
-        """Its turn has come: it gets its response, however long that takes."""
-        if self._expiry is not None:
-            self._expiry.cancel()
+    def cancel_queue_timeout(self) -> None:
+        """Cancel the queue timeout, as a call in service gets its response however long that takes."""
+        if self._queue_timer is not None:
+            self._queue_timer.cancel()
 
     def stop_waiting(self) -> None:
-        """It waits no longer, as it has its response, or is reset or gone."""
+        """Stop waiting: the call gets its response, is reset, or its connection ended."""
         self.is_waiting = False
-        self.start_service()
+        self.cancel_queue_timeout()
 
     def respond(self, body: bytes) -> None:
-        """Give the response to a fetch."""
+        """Send the response to a fetch."""
         self.write(_response(200, body))
 
     def begin_watch(self, line: bytes) -> None:
-        """Give the head of the response to a watch, and its first line."""
+        """Send the head and the first line of the response to a watch."""
         self.is_watch = True
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line))
 
     def write(self, data: bytes) -> None:
-        """Hand it to the socket, and count it."""
+        """Write data to the socket and report its size to the owner."""
         self._owner.on_written(len(data))
         self._transport.write(data)
 
     def reset(self) -> None:
-        """End the connection in a reset."""
-        own: socket.socket | None = self._transport.get_extra_info("socket")
-        if own is not None:
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+        """Close the connection with a TCP reset."""
+        raw_socket: socket.socket | None = self._transport.get_extra_info("socket")
+        if raw_socket is not None:
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._transport.abort()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately, without sending buffered data."""
         self._transport.abort()
--- a/scale/wait.py
+++ b/scale/wait.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition that nothing announces."""
+"""Polls a condition for which there is no event."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float) -> None:
-    """Return once the condition holds.  Raises TimeoutError after `timeout_s` seconds."""
+    """Poll until the condition is true.  Raises TimeoutError after `timeout_s` seconds."""
     async with asyncio.timeout(timeout_s):
-        while not condition():  # noqa: ASYNC110 - what is waited for sets no event
+        while not condition():  # noqa: ASYNC110 - there is no event to wait for
             await asyncio.sleep(INTERVAL_S)
