--- a/scale/records.py
+++ b/scale/records.py
@@ -56,11 +56,11 @@
     slope: float
     slope_spread: float
     intercept: float
-    largest: float
+    largest_size: float
 
     def at(self, size: float) -> Figure:
         """Return the predicted value at a size."""
-        return Figure(self.intercept + self.slope * size, size > self.largest)
+        return Figure(self.intercept + self.slope * size, size > self.largest_size)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
@@ -141,7 +141,7 @@
         if len(pairs) < MIN_POINTS or len(set(sizes)) < 2:
             continue
         fitted = fit(sizes, values)
-        extrapolated = fitted.at(EXTRAPOLATION_FACTOR * fitted.largest)
+        extrapolated = fitted.at(EXTRAPOLATION_FACTOR * fitted.largest_size)
         rows.append(
             [
                 name,
