--- a/simulator/__init__.py
+++ b/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the balancer under the simulator: its wire format and the loop on standard input and output."""
+"""Simulator adapter: runs balancer instances over a binary protocol on standard input and output."""
--- a/simulator/__main__.py
+++ b/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m simulator`: runs balancer instances under the simulator, on standard input and output."""
+"""Entry point of `python -m simulator`: serves the simulator on standard input and output."""
 
 import sys
 
--- a/simulator/decoder.py
+++ b/simulator/decoder.py
@@ -1,4 +1,4 @@
-"""The decoder of the simulator's batches: bytes in, typed records out.
+"""Decodes the simulator's batches into typed records.
 
 Malformed input raises `WireError`.
 """
@@ -32,12 +32,12 @@
 __all__ = ["BATCH_HEADER", "MAX_FRAME_BYTES", "decode_batch", "outcome_of", "update_kind_of"]
 
 BATCH_HEADER = struct.Struct(">IIQ")
-"""Number of records, length of the frame in bytes with this header, and the time in ns."""
+"""Header of a batch: record count, frame length in bytes including this header, and time in ns."""
 MAX_FRAME_BYTES = 1 << 30
-"""The longest frame that is read: batches are megabytes long, anything past this is not a batch."""
+"""Longest frame accepted; batches take megabytes, so a greater length is not that of a batch."""
 
 _Decoder = Callable[[bytes, int], tuple[Record, int]]
-"""Reads the record whose fields begin at an offset; returns it and the offset of the next record."""
+"""Decodes the record whose fields start at an offset; returns it and the offset of the next record."""
 
 _INSTANCE_STARTED = struct.Struct(">HQI")
 _INSTANCE_STOPPED = struct.Struct(">H")
@@ -51,7 +51,7 @@
 _TIMER_EXPIRED = struct.Struct(">HI")
 _HEALTH_CHECKED = struct.Struct(">H6sHQB")
 _GOSSIP_RECEIVED = struct.Struct(">HHH")
-_LOAD_REPORTS = tuple(struct.Struct(f">{columns}f") for columns in range(256))
+_LOAD_REPORT_LAYOUTS = tuple(struct.Struct(f">{value_count}f") for value_count in range(256))
 
 _OUTCOMES = {
     200: Outcome.OK,
@@ -66,7 +66,7 @@
 
 
 def outcome_of(code: int) -> Outcome:
-    """The outcome that a code of the wire stands for."""
+    """Return the outcome for an outcome code on the wire."""
     try:
         return _OUTCOMES[code]
     except KeyError:
@@ -74,17 +74,17 @@
 
 
 def update_kind_of(code: int) -> UpdateKind:
-    """The kind of a discovery event."""
+    """Return the endpoint list update kind for a code on the wire."""
     try:
         return UpdateKind(code)
     except ValueError:
-        raise WireError(f"unknown kind of list {code}") from None
+        raise WireError(f"unknown endpoint list update kind {code}") from None
 
 
 def decode_batch(body: bytes, count: int) -> Iterator[Record]:
-    """The `count` records of a batch, `body` being what follows its header.
+    """Yield the `count` records of a batch, given its `body` without the header.
 
-    Records before a malformed one are yielded; the error comes in its place.
+    Records before a malformed one are yielded before the error is raised.
     """
     offset = 0
     try:
@@ -96,29 +96,29 @@
             record, offset = decode(body, offset + 1)
             yield record
     except (struct.error, IndexError):
-        raise WireError("a record runs past its frame") from None
+        raise WireError("record extends past its frame") from None
     if offset != len(body):
-        raise WireError(f"{len(body) - offset} bytes are left over after the last record")
+        raise WireError(f"{len(body) - offset} trailing bytes after the last record")
 
 
-def _slice(body: bytes, offset: int, size: int) -> bytes:
+def _read_bytes(body: bytes, offset: int, size: int) -> bytes:
     if offset + size > len(body):
-        raise WireError("a count runs past its frame")
+        raise WireError("length field extends past its frame")
     return body[offset : offset + size]
 
 
-def _decode_load_report(body: bytes, offset: int, columns: int) -> tuple[tuple[float, ...], int]:
-    if not columns:
+def _decode_load_report(body: bytes, offset: int, value_count: int) -> tuple[tuple[float, ...], int]:
+    if not value_count:
         return (), offset
-    layout = _LOAD_REPORTS[columns]
+    layout = _LOAD_REPORT_LAYOUTS[value_count]
     values = layout.unpack_from(body, offset)
     if any(map(isnan, values)):
-        raise WireError(f"a load report cannot hold {values}")
+        raise WireError(f"load report contains NaN: {values}")
     return values, offset + layout.size
 
 
 def _fixed_decoder(layout: struct.Struct, make_record: Callable[[Any], Record]) -> _Decoder:
-    """Reads a record whose fields are exactly those of its layout."""
+    """Return a decoder for records of fixed length whose fields are those of the layout."""
     size = layout.size
     unpack_from = layout.unpack_from
 
@@ -131,23 +131,23 @@
 def _decode_instance_started(body: bytes, offset: int) -> tuple[Record, int]:
     instance, seed, size = _INSTANCE_STARTED.unpack_from(body, offset)
     offset += _INSTANCE_STARTED.size
-    return InstanceStarted(instance, seed, _slice(body, offset, size)), offset + size
+    return InstanceStarted(instance, seed, _read_bytes(body, offset, size)), offset + size
 
 
 def _decode_endpoint_list_page(body: bytes, offset: int) -> tuple[Record, int]:
     page, count = _ENDPOINT_LIST_PAGE.unpack_from(body, offset)
     offset += _ENDPOINT_LIST_PAGE.size
-    rows = _slice(body, offset, count * _ENDPOINT_ENTRY.size)
-    return EndpointListPage(page, _decode_endpoint_entries(rows)), offset + len(rows)
+    data = _read_bytes(body, offset, count * _ENDPOINT_ENTRY.size)
+    return EndpointListPage(page, _decode_endpoint_entries(data)), offset + len(data)
 
 
-def _decode_endpoint_entries(rows: bytes) -> list[EndpointEntry]:
+def _decode_endpoint_entries(data: bytes) -> list[EndpointEntry]:
     entries = []
-    for endpoint_id, zone, machine_type, cell, state, weight, started_ns in _ENDPOINT_ENTRY.iter_unpack(rows):
+    for endpoint_id, zone, machine_type, cell, state, weight, started_ns in _ENDPOINT_ENTRY.iter_unpack(data):
         if state > EndpointState.DRAINING:
-            raise WireError(f"unknown availability {state}")
+            raise WireError(f"unknown endpoint state {state}")
         if not isfinite(weight):
-            raise WireError(f"a power-hint cannot be {weight}")
+            raise WireError(f"endpoint weight {weight} is not finite")
         entries.append(
             EndpointEntry(endpoint_id, zone, machine_type, cell, EndpointState(state), weight, started_ns)
         )
@@ -160,10 +160,10 @@
 
 
 def _decode_attempt_ended(body: bytes, offset: int) -> tuple[Record, int]:
-    instance, request_id, attempt, endpoint_id, outcome_code, elapsed_ns, is_final, columns = (
+    instance, request_id, attempt, endpoint_id, outcome_code, elapsed_ns, is_final, value_count = (
         _ATTEMPT_ENDED.unpack_from(body, offset)
     )
-    load_report, end = _decode_load_report(body, offset + _ATTEMPT_ENDED.size, columns)
+    load_report, end = _decode_load_report(body, offset + _ATTEMPT_ENDED.size, value_count)
     record = AttemptEnded(
         instance, request_id, attempt, endpoint_id, outcome_code, elapsed_ns, is_final, load_report
     )
@@ -171,15 +171,15 @@
 
 
 def _decode_health_checked(body: bytes, offset: int) -> tuple[Record, int]:
-    instance, endpoint_id, outcome_code, elapsed_ns, columns = _HEALTH_CHECKED.unpack_from(body, offset)
-    load_report, end = _decode_load_report(body, offset + _HEALTH_CHECKED.size, columns)
+    instance, endpoint_id, outcome_code, elapsed_ns, value_count = _HEALTH_CHECKED.unpack_from(body, offset)
+    load_report, end = _decode_load_report(body, offset + _HEALTH_CHECKED.size, value_count)
     return HealthChecked(instance, endpoint_id, outcome_code, elapsed_ns, load_report), end
 
 
 def _decode_gossip_received(body: bytes, offset: int) -> tuple[Record, int]:
     instance, peer, size = _GOSSIP_RECEIVED.unpack_from(body, offset)
     offset += _GOSSIP_RECEIVED.size
-    return GossipReceived(instance, peer, _slice(body, offset, size)), offset + size
+    return GossipReceived(instance, peer, _read_bytes(body, offset, size)), offset + size
 
 
 _DECODERS: dict[int, _Decoder] = {
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -1,4 +1,4 @@
-"""The balancer instances of one process: hands each record to its instance and collects their actions."""
+"""Dispatches records to the balancer instances of one process and collects their actions."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 __all__ = ["BalancerFactory", "InstanceHost"]
 
 BalancerFactory = Callable[[Settings, int, ReplyActions], EventHandler]
-"""Makes a balancer from its settings, its seed and its actions."""
+"""Creates a balancer from its settings, random seed and actions."""
 
-# Bits of `RequestArrived.flags`.
+# Bit masks for `RequestArrived.flags`.
 HAS_COST_HINT = 1
 IS_RETRY = 2
 IS_WRITE = 4
@@ -52,14 +52,14 @@
 
 
 class InstanceHost:
-    """The instances of one process.  They share the reply being written and nothing else."""
+    """Balancer instances of one process; they share only the reply buffer."""
 
     def __init__(self, make_balancer: BalancerFactory = Balancer) -> None:
         self._make_balancer = make_balancer
         self._reply = Reply()
         self._instances: dict[int, _Instance] = {}
         self._pages: dict[int, list[EndpointEntry]] = {}
-        # A table, as every record passes here: a chain of type tests grows with the kinds of records.
+        # A dispatch table, because a chain of type tests for each record slows down with every record type.
         self._handlers: dict[type[Any], Callable[[int, Any], None]] = {
             InstanceStarted: self._start_instance,
             InstanceStopped: self._stop_instance,
@@ -75,9 +75,9 @@
         }
 
     def handle_batch(self, now_ns: int, body: bytes, count: int) -> bytes:
-        """Handle the records of one batch and return the frame of the reply to it.
+        """Handle the records of one batch and return the reply frame.
 
-        An exception of a balancer goes out as a fault of its instance; malformed input raises `WireError`.
+        An exception in a balancer is reported as a fault of its instance; malformed input raises `WireError`.
         """
         handlers = self._handlers
         for record in decode_batch(body, count):
@@ -87,16 +87,17 @@
                 raise
             except Exception as error:
                 traceback.print_exc()
-                number = record[0]  # of the instance: storing a page raises nothing
-                actions = ReplyActions(number, self._reply)
+                # Field 0 is the instance in all records but `EndpointListPage`, whose handler raises nothing.
+                instance_number = record[0]
+                actions = ReplyActions(instance_number, self._reply)
                 actions.report_fault(f"{type(error).__name__}: {error}")
         return self._reply.take()
 
-    def _instance(self, number: int) -> _Instance:
+    def _get_instance(self, instance_number: int) -> _Instance:
         try:
-            return self._instances[number]
+            return self._instances[instance_number]
         except KeyError:
-            raise WireError(f"event for unknown instance {number}") from None
+            raise WireError(f"event for unknown instance {instance_number}") from None
 
     def _store_page(self, _now_ns: int, record: EndpointListPage) -> None:
         self._pages[record.page] = record.entries
@@ -111,7 +112,7 @@
         self._instances[record.instance] = _Instance(settings, balancer)
 
     def _stop_instance(self, _now_ns: int, record: InstanceStopped) -> None:
-        self._instance(record.instance)
+        self._get_instance(record.instance)
         del self._instances[record.instance]
 
     def _on_endpoint_list_updated(self, now_ns: int, event: EndpointListUpdated) -> None:
@@ -119,13 +120,22 @@
         entries: list[EndpointEntry] = []
         if kind is not UpdateKind.FAILED:
             if event.page not in self._pages:
-                raise WireError(f"no list of hosts has the number {event.page}")
+                raise WireError(f"unknown endpoint list page {event.page}")
             entries = self._pages[event.page]
-        self._instance(event.instance).balancer.on_endpoint_list(now_ns, kind, entries)
+        self._get_instance(event.instance).balancer.on_endpoint_list(now_ns, kind, entries)
 
     def _on_request_arrived(self, now_ns: int, event: RequestArrived) -> None:
-        number, request_id, class_index, tenant_index, routing_key, timeout_ns, cost_hint_ns, flags = event
-        settings, balancer = self._instance(number)
+        (
+            instance_number,
+            request_id,
+            class_index,
+            tenant_index,
+            routing_key,
+            timeout_ns,
+            cost_hint_ns,
+            flags,
+        ) = event
+        settings, balancer = self._get_instance(instance_number)
         if class_index >= len(settings.classes):
             raise WireError(f"unknown request class {class_index}")
         if tenant_index and tenant_index >= len(settings.tenants):
@@ -143,28 +153,36 @@
         balancer.on_request(now_ns, incoming)
 
     def _on_response_started(self, now_ns: int, event: ResponseStarted) -> None:
-        balancer = self._instance(event.instance).balancer
+        balancer = self._get_instance(event.instance).balancer
         balancer.on_response_started(now_ns, event.request_id, event.attempt)
 
     def _on_attempt_ended(self, now_ns: int, event: AttemptEnded) -> None:
-        number, request_id, attempt, endpoint_id, code, elapsed_ns, is_final, load_report = event
-        balancer = self._instance(number).balancer
+        instance_number, request_id, attempt, endpoint_id, outcome_code, elapsed_ns, is_final, load_report = (
+            event
+        )
+        balancer = self._get_instance(instance_number).balancer
         result = AttemptResult(
-            request_id, attempt, endpoint_id, outcome_of(code), elapsed_ns, bool(is_final), load_report
+            request_id,
+            attempt,
+            endpoint_id,
+            outcome_of(outcome_code),
+            elapsed_ns,
+            bool(is_final),
+            load_report,
         )
         balancer.on_attempt_ended(now_ns, result)
 
     def _on_client_gone(self, now_ns: int, event: ClientGone) -> None:
-        self._instance(event.instance).balancer.on_client_gone(now_ns, event.request_id)
+        self._get_instance(event.instance).balancer.on_client_gone(now_ns, event.request_id)
 
     def _on_timer_expired(self, now_ns: int, event: TimerExpired) -> None:
-        self._instance(event.instance).balancer.on_timer(now_ns, event.token)
+        self._get_instance(event.instance).balancer.on_timer(now_ns, event.token)
 
     def _on_health_checked(self, now_ns: int, event: HealthChecked) -> None:
-        number, endpoint_id, code, elapsed_ns, load_report = event
-        balancer = self._instance(number).balancer
-        result = HealthCheckResult(endpoint_id, outcome_of(code), elapsed_ns, load_report)
+        instance_number, endpoint_id, outcome_code, elapsed_ns, load_report = event
+        balancer = self._get_instance(instance_number).balancer
+        result = HealthCheckResult(endpoint_id, outcome_of(outcome_code), elapsed_ns, load_report)
         balancer.on_health_checked(now_ns, result)
 
     def _on_gossip_received(self, now_ns: int, event: GossipReceived) -> None:
-        self._instance(event.instance).balancer.on_gossip(now_ns, event.peer, event.content)
+        self._get_instance(event.instance).balancer.on_gossip(now_ns, event.peer, event.content)
--- a/simulator/records.py
+++ b/simulator/records.py
@@ -1,6 +1,6 @@
-"""The records of a batch, as the decoder yields them: what has happened to one balancer instance.
+"""Record types of a batch; all but `EndpointListPage` are events of one balancer instance.
 
-The integers and bytes are those of the wire; durations and times are in nanoseconds.
+Integers and bytes have their values from the wire; durations and times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 
 class WireError(Exception):
-    """Input that does not follow the wire format; its text is one line."""
+    """Raised for input that violates the wire format; the message is a single line."""
 
 
 class RecordCode(IntEnum):
-    """The byte with which a record begins."""
+    """First byte of a record; identifies the record's type."""
 
     INSTANCE_STARTED = 1
     ENDPOINT_LIST_UPDATED = 2
@@ -49,39 +49,39 @@
 
 
 class InstanceStarted(NamedTuple):
-    """A balancer instance is to be created."""
+    """Creates a balancer instance."""
 
     instance: int
     seed: int
     settings: bytes
-    """A JSON object, for `balancer.settings_parser`."""
+    """JSON object to be parsed by `balancer.settings_parser`."""
 
 
 class InstanceStopped(NamedTuple):
-    """A balancer instance gets no further events."""
+    """Removes a balancer instance, which receives no further events."""
 
     instance: int
 
 
 class EndpointListPage(NamedTuple):
-    """A numbered endpoint list, which later events refer to."""
+    """An endpoint list with a number by which later events refer to it."""
 
     page: int
     entries: list[EndpointEntry]
 
 
 class EndpointListUpdated(NamedTuple):
-    """Discovery has sent a page to an instance, or a call of it has failed."""
+    """Discovery sent an endpoint list page to an instance, or a discovery call failed."""
 
     instance: int
     update_kind: int
-    """A value of `balancer.UpdateKind`, not yet checked."""
+    """Value of `balancer.UpdateKind`, not yet validated."""
     generation: int
     page: int
 
 
 class RequestArrived(NamedTuple):
-    """A client's request has come."""
+    """A request arrived from a client."""
 
     instance: int
     request_id: int
@@ -91,11 +91,11 @@
     timeout_ns: int
     cost_hint_ns: int
     flags: int
-    """Bits: the cost hint is given, the client has sent it before, it is a write."""
+    """Bit mask: 1 the request has a cost hint, 2 the client marked it as a retry, 4 it is a write."""
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed response has begun."""
+    """The response to an attempt started to stream."""
 
     instance: int
     request_id: int
@@ -103,7 +103,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended."""
+    """An attempt ended with an outcome."""
 
     instance: int
     request_id: int
@@ -116,21 +116,21 @@
 
 
 class ClientGone(NamedTuple):
-    """The client of a request has left."""
+    """The client of a request disconnected."""
 
     instance: int
     request_id: int
 
 
 class TimerExpired(NamedTuple):
-    """A timer has expired."""
+    """A timer set by the instance expired."""
 
     instance: int
     token: int
 
 
 class HealthChecked(NamedTuple):
-    """A health check has ended."""
+    """A health check of an endpoint ended."""
 
     instance: int
     endpoint_id: bytes
@@ -140,7 +140,7 @@
 
 
 class GossipReceived(NamedTuple):
-    """Another gateway has sent a message."""
+    """A gossip message arrived from a peer."""
 
     instance: int
     peer: int
--- a/simulator/reply.py
+++ b/simulator/reply.py
@@ -1,4 +1,4 @@
-"""The encoder of replies: the actions of all balancer instances, in the order in which they were taken."""
+"""Encodes replies: the actions of all balancer instances, in the order of their calls."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 __all__ = ["REPLY_HEADER", "ActionCode", "Reply", "ReplyActions"]
 
 REPLY_HEADER = struct.Struct(">II")
-"""Length of the frame in bytes with this header, and the number of records."""
+"""Header of a reply: frame length in bytes including this header, and record count."""
 ALL_PEERS = 0xFFFF
-"""The peer's number in a message that goes to all other gateways."""
+"""Peer number that addresses a gossip message to all peers."""
 MAX_TEXT_BYTES = 0xFFFF
 
 
 class ActionCode(IntEnum):
-    """The byte with which a record of a reply begins."""
+    """First byte of a record in a reply; identifies the action."""
 
     SEND_ATTEMPT = 1
     FAIL = 2
@@ -33,14 +33,14 @@
     LOG = 12
 
 
-# Plain integers for the frequent ones: Python 3.11 looks up a member of an enum class slowly.
+# Plain integers for the frequent actions, because Python 3.11 looks up enum members slowly.
 _SEND_ATTEMPT = ActionCode.SEND_ATTEMPT.value
 _FAIL = ActionCode.FAIL.value
 _REJECT = ActionCode.REJECT.value
 _CANCEL_ATTEMPT = ActionCode.CANCEL_ATTEMPT.value
 _SET_TIMER = ActionCode.SET_TIMER.value
 
-# Each begins with the action's code and the instance's number.
+# Each layout starts with the action code and the instance number.
 _ATTEMPT_LAYOUT = struct.Struct(">BHI6sQ")
 _FAIL_LAYOUT = struct.Struct(">BHI")
 _REJECT_LAYOUT = struct.Struct(">BHIQ")
@@ -54,7 +54,7 @@
 
 
 class Reply:
-    """The reply being written, shared by all instances of a process."""
+    """Buffer for the reply in progress; shared by all instances of a process."""
 
     __slots__ = ("_buffer", "_count")
 
@@ -63,12 +63,12 @@
         self._count = 0
 
     def add(self, record: bytes) -> None:
-        """Append one record."""
+        """Append an encoded record."""
         self._buffer += record
         self._count += 1
 
     def take(self) -> bytes:
-        """The finished frame; the reply is empty again."""
+        """Return the complete frame and clear the buffer."""
         REPLY_HEADER.pack_into(self._buffer, 0, len(self._buffer), self._count)
         frame = bytes(self._buffer)
         del self._buffer[REPLY_HEADER.size :]
@@ -77,7 +77,7 @@
 
 
 class ReplyActions:
-    """The `balancer.Actions` of one instance, appended to the reply."""
+    """Implements `balancer.Actions` for one instance by appending records to the reply."""
 
     __slots__ = ("_add", "_instance")
 
@@ -90,11 +90,11 @@
         self._add(_ATTEMPT_LAYOUT.pack(_SEND_ATTEMPT, self._instance, request_id, endpoint_id, timeout_ns))
 
     def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - of the interface
-        """Fail a request; the wire carries no reason."""
+        """Fail a request; the wire format has no field for the reason."""
         self._add(_FAIL_LAYOUT.pack(_FAIL, self._instance, request_id))
 
     def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - of the interface
-        """Reject a request; the wire carries no reason."""
+        """Reject a request; the wire format has no field for the reason."""
         self._add(_REJECT_LAYOUT.pack(_REJECT, self._instance, request_id, retry_after_ns))
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
@@ -102,36 +102,38 @@
         self._add(_CANCEL_LAYOUT.pack(_CANCEL_ATTEMPT, self._instance, request_id, attempt))
 
     def set_timer(self, token: int, delay_ns: int) -> None:
-        """Set a timer."""
+        """Schedule an expiry of the timer with this token after the delay."""
         self._add(_TIMER_LAYOUT.pack(_SET_TIMER, self._instance, token, delay_ns))
 
     def watch_endpoints(self, active: bool) -> None:
-        """Begin or end a watch of the endpoint list."""
+        """Subscribe to changes of the endpoint list, or unsubscribe if not `active`."""
         self._add(_WATCH_LAYOUT.pack(ActionCode.WATCH_ENDPOINTS, self._instance, active))
 
     def fetch_endpoints(self) -> None:
-        """Poll discovery once."""
+        """Request one snapshot of the endpoint list."""
         self._add(_FETCH_LAYOUT.pack(ActionCode.FETCH_ENDPOINTS, self._instance))
 
     def check_health(self, endpoint_id: EndpointId) -> None:
-        """Send a health check."""
+        """Send a health check to an endpoint."""
         self._add(_ENDPOINT_LAYOUT.pack(ActionCode.CHECK_HEALTH, self._instance, endpoint_id))
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to an endpoint."""
         self._add(_ENDPOINT_LAYOUT.pack(ActionCode.CLOSE_IDLE_CONNECTIONS, self._instance, endpoint_id))
 
     def send_gossip(self, peer: int | None, content: bytes) -> None:
-        """Send a message to one other gateway, or to all with None."""
-        number = ALL_PEERS if peer is None else peer
-        self._add(_GOSSIP_LAYOUT.pack(ActionCode.SEND_GOSSIP, self._instance, number, len(content)) + content)
+        """Send a gossip message to one peer, or to all peers if `peer` is None."""
+        peer_number = ALL_PEERS if peer is None else peer
+        self._add(
+            _GOSSIP_LAYOUT.pack(ActionCode.SEND_GOSSIP, self._instance, peer_number, len(content)) + content
+        )
 
     def log(self, text: str) -> None:
-        """Write a log line."""
+        """Write a line to the operators' log."""
         self._add_text(ActionCode.LOG, text)
 
     def report_fault(self, text: str) -> None:
-        """Report that the balancer has raised an exception."""
+        """Report an exception raised by the balancer."""
         self._add_text(ActionCode.REPORT_FAULT, text)
 
     def _add_text(self, code: ActionCode, text: str) -> None:
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the simulator."""
+"""Tests of the simulator adapter."""
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator: decoder, replies and loop; what is well formed and what is not."""
+"""Tests of the simulator adapter: decoder, replies and main loop, with valid and malformed input."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 ENDPOINT_ID = bytes.fromhex("0a124a07138b")
 
 
-def frame(*records: bytes, now: int = 5) -> bytes:
+def frame(*records: bytes, now_ns: int = 5) -> bytes:
     body = b"".join(records)
-    return BATCH_HEADER.pack(len(records), 16 + len(body), now) + body
+    return BATCH_HEADER.pack(len(records), 16 + len(body), now_ns) + body
 
 
 def instance_started(settings: Any = None, instance: int = 3) -> bytes:
@@ -56,7 +56,7 @@
 REQUEST_ARRIVED = bytes.fromhex("0300035d3a91c40000000091f03b7c55d20a64000000000e4e1c000000000000b71b0001")
 
 
-def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_simulator(data: bytes) -> subprocess.CompletedProcess[bytes]:
     env = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
     return subprocess.run(
         [sys.executable, "-m", "simulator"], input=data, capture_output=True, env=env, check=False
@@ -64,14 +64,20 @@
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    done = run(bytes.fromhex("000000000000001000000001f568bf90"))
-    assert (done.returncode, done.stdout, done.stderr) == (0, bytes.fromhex("0000000800000000"), b"")
+    result = run_simulator(bytes.fromhex("000000000000001000000001f568bf90"))
+    assert (result.returncode, result.stdout, result.stderr) == (
+        0,
+        bytes.fromhex("0000000800000000"),
+        b"",
+    )
 
 
 def test_a_request_is_sent_to_the_listed_endpoint() -> None:
-    done = run(frame(instance_started(), endpoint_list_page(), ENDPOINT_LIST_UPDATED, REQUEST_ARRIVED))
-    assert done.returncode == 0, done.stderr
-    assert struct.pack(">BHI", 1, 3, 0x5D3A91C4) + ENDPOINT_ID in done.stdout
+    result = run_simulator(
+        frame(instance_started(), endpoint_list_page(), ENDPOINT_LIST_UPDATED, REQUEST_ARRIVED)
+    )
+    assert result.returncode == 0, result.stderr
+    assert struct.pack(">BHI", 1, 3, 0x5D3A91C4) + ENDPOINT_ID in result.stdout
 
 
 @pytest.mark.parametrize(
@@ -94,14 +100,17 @@
                 + ENDPOINT_ID
                 + struct.pack(">BHHBfQ", 1, 0, 0, 1, float("inf"), 0),
             ),
-            "power-hint",
+            "endpoint weight inf is not finite",
         ),
         (
             frame(instance_started(), struct.pack(">BH6sHQBf", 8, 3, ENDPOINT_ID, 200, 1, 1, float("nan"))),
-            "load report",
+            "load report contains NaN",
+        ),
+        (frame(instance_started(), ENDPOINT_LIST_UPDATED), "unknown endpoint list page 0"),
+        (
+            frame(instance_started(), struct.pack(">BHBQH", 2, 3, 9, 1, 0)),
+            "unknown endpoint list update kind 9",
         ),
-        (frame(instance_started(), ENDPOINT_LIST_UPDATED), "no list of hosts has the number 0"),
-        (frame(instance_started(), struct.pack(">BHBQH", 2, 3, 9, 1, 0)), "unknown kind of list 9"),
         (
             frame(instance_started(), struct.pack(">BHIH6sHQBB", 5, 3, 1, 0, ENDPOINT_ID, 999, 1, 0, 0)),
             "outcome code 999",
@@ -113,32 +122,32 @@
         (frame(instance_started(), struct.pack(">BHIHHQQQB", 3, 3, 1, 0, 4, 0, 1, 1, 0)), "unknown tenant 4"),
     ],
 )
-def test_malformed_input_ends_in_one_plain_line(data: bytes, message: str) -> None:
-    done = run(data)
-    assert done.returncode == 1
-    assert message in done.stderr.decode()
-    assert done.stderr.count(b"\n") == 1
-    assert done.stdout == b""
+def test_malformed_input_exits_with_a_one_line_error(data: bytes, message: str) -> None:
+    result = run_simulator(data)
+    assert result.returncode == 1
+    assert message in result.stderr.decode()
+    assert result.stderr.count(b"\n") == 1
+    assert result.stdout == b""
 
 
-def test_settings_nested_without_end_are_malformed() -> None:
-    done = run(frame(struct.pack(">BHQI", 1, 3, 7, 200_000) + b"[" * 200_000))
-    assert (done.returncode, done.stderr.count(b"\n")) == (1, 1)
-    assert b"malformed boot-info" in done.stderr
+def test_deeply_nested_settings_are_malformed() -> None:
+    result = run_simulator(frame(struct.pack(">BHQI", 1, 3, 7, 200_000) + b"[" * 200_000))
+    assert (result.returncode, result.stderr.count(b"\n")) == (1, 1)
+    assert b"malformed boot-info" in result.stderr
 
 
-def test_an_exception_of_the_balancer_goes_out_as_the_fault_action() -> None:
-    done = run(
+def test_a_balancer_exception_is_reported_as_a_fault() -> None:
+    result = run_simulator(
         frame(
             instance_started(), endpoint_list_page(), ENDPOINT_LIST_UPDATED, REQUEST_ARRIVED, REQUEST_ARRIVED
         )
     )
-    assert b"Traceback" in done.stderr
-    assert struct.pack(">BH", 7, 3) in done.stdout
-    assert b"already open" in done.stdout
+    assert b"Traceback" in result.stderr
+    assert struct.pack(">BH", 7, 3) in result.stdout
+    assert b"already open" in result.stdout
 
 
-def test_actions_are_laid_out_as_the_wire_says() -> None:
+def test_actions_follow_the_wire_format() -> None:
     reply = Reply()
     actions = ReplyActions(3, reply)
     actions.send_attempt(0x5D3A91C4, ENDPOINT_ID, 80_000_000)
@@ -159,7 +168,7 @@
 
 
 @given(st.integers(0, 2**32 - 1), st.lists(st.floats(width=32, allow_nan=False), max_size=4))
-def test_an_ended_attempt_is_decoded(request_id: int, load_report: list[float]) -> None:
+def test_an_attempt_ended_record_is_decoded(request_id: int, load_report: list[float]) -> None:
     record = struct.pack(
         f">BHIH6sHQBB{len(load_report)}f",
         5,
@@ -181,7 +190,7 @@
     assert outcome_of(200) is Outcome.OK
 
 
-def test_an_entry_of_an_endpoint_list_is_decoded() -> None:
+def test_an_endpoint_list_entry_is_decoded() -> None:
     [record] = decode_batch(endpoint_list_page(), 1)
     assert isinstance(record, EndpointListPage)
     page, [entry] = record
@@ -208,9 +217,11 @@
 ]
 
 
-@pytest.mark.parametrize(("act", "record"), ACTIONS)
-def test_each_action_is_one_record(act: Callable[[ReplyActions], None], record: bytes) -> None:
+@pytest.mark.parametrize(("call_action", "record"), ACTIONS)
+def test_each_action_is_encoded_as_one_record(
+    call_action: Callable[[ReplyActions], None], record: bytes
+) -> None:
     reply = Reply()
-    act(ReplyActions(3, reply))
+    call_action(ReplyActions(3, reply))
     assert reply.take() == struct.pack(">II", 8 + len(record), 1) + record
     assert reply.take() == struct.pack(">II", 8, 0)
