--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, laid out as the packages that they test; what they share lies in `support`."""
+"""Test suite; subpackages mirror the packages under test, and shared helpers are in `support`."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Settings of the suite: repeatable hypothesis runs and the list of known failures.
+"""Configuration of the test suite: deterministic Hypothesis runs, time limits and known failures.
 
-KNOWN-RED.txt at the project's root lists tests that fail for a fault which is not fixed yet, one a line: the
-test's id, the cause and the issue, separated by `|`.  They are run, reported at the end and do not fail the
-suite; one that passes does, so that it is taken off the list with its fix.
+KNOWN-RED.txt in the project root lists tests that fail because of an unfixed defect, one per line: test id,
+cause and issue, separated by `|`.  Listed tests run, are reported at the end and do not fail the suite.  A
+listed test that passes fails the suite, so that the commit with its fix removes it from the list.
 """
 
 from __future__ import annotations
@@ -22,41 +22,41 @@
 from tests.support.loopback import LIMIT_S
 from tests.support.processes import end_launched
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MAX_KNOWN_RED = 3
+KNOWN_FAILURES_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
-# Hypothesis draws the same examples every time and has no deadline, so that the result never varies.
+# The same examples in every run and no deadline per example make the result deterministic.
 settings.register_profile("repeatable", derandomize=True, deadline=None, database=None)
 settings.load_profile("repeatable")
 
 
-def _known_red() -> dict[str, str]:
-    """The reason of each known failure by the id of its test."""
-    if not KNOWN_RED.exists():
+def _read_known_failures() -> dict[str, str]:
+    """Return the cause and issue of each known failure by test id."""
+    if not KNOWN_FAILURES_PATH.exists():
         return {}
-    known = {}
-    for line in KNOWN_RED.read_text().splitlines():
+    known_failures = {}
+    for line in KNOWN_FAILURES_PATH.read_text().splitlines():
         if line.strip():
             test, reason = line.split("|", 1)
-            known[test.strip()] = reason.strip()
-    return known
+            known_failures[test.strip()] = reason.strip()
+    return known_failures
 
 
 @pytest.fixture(scope="session")
 def event_loop_policy() -> uvloop.EventLoopPolicy:
-    """Tests run on an event loop of the kind that the gateway has."""
+    """Run asynchronous tests on uvloop, as the gateway does."""
     return uvloop.EventLoopPolicy()
 
 
 @pytest.fixture(autouse=True)
-def _end_launched_gateways() -> Iterator[None]:
-    """A test that fails leaves no gateway running either."""
+def _kill_launched_gateways() -> Iterator[None]:
+    """Kill the gateway processes that a test started, even if the test failed."""
     yield
     end_launched()
 
 
 def _with_time_limit(test: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
-    """The same test, which fails once it has run for too long."""
+    """Wrap a test so that it fails once it exceeds the time limit."""
 
     @functools.wraps(test)
     async def run(*args: Any, **fixtures: Any) -> None:
@@ -66,26 +66,28 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Limit the time of tests, and mark known failures.
+    """Apply the time limit to asynchronous tests and mark known failures as expected.
 
-    A list of those that is too long or names a test that does not exist is an error.
+    A KNOWN-RED.txt with too many lines is an error, and so is an unknown test id in a run of the full suite.
     """
-    known = _known_red()
-    if len(known) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(known)} tests, more than {MAX_KNOWN_RED}")
-    named = {Path(argument).resolve() for argument in config.args}
-    is_full_suite = named <= {KNOWN_RED.parent, Path(__file__).parent}
-    missing = known.keys() - {item.nodeid for item in items}
+    known_failures = _read_known_failures()
+    if len(known_failures) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"KNOWN-RED.txt lists {len(known_failures)} tests; the maximum is {MAX_KNOWN_FAILURES}"
+        )
+    selected_paths = {Path(argument).resolve() for argument in config.args}
+    is_full_suite = selected_paths <= {KNOWN_FAILURES_PATH.parent, Path(__file__).parent}
+    missing = known_failures.keys() - {item.nodeid for item in items}
     if missing and is_full_suite:
-        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {', '.join(sorted(missing))}")
+        raise pytest.UsageError(f"KNOWN-RED.txt lists unknown tests: {', '.join(sorted(missing))}")
     for item in items:
         if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
             item.obj = _with_time_limit(item.obj)
-        if reason := known.get(item.nodeid):
+        if reason := known_failures.get(item.nodeid):
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    """Print the known failures."""
-    for test, reason in _known_red().items():
+    """Print the known failures at the end of the run."""
+    for test, reason in _read_known_failures().items():
         terminalreporter.write_line(f"KNOWN RED {test}: {reason}")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example is run as it stands, so that it stays true."""
+"""Runs the example in README.md, so that it stays correct."""
 
 import re
 from pathlib import Path
@@ -8,12 +8,12 @@
 README = (Path(__file__).parent.parent / "README.md").read_text()
 
 
-def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    block = re.search(r"```python\n(.*?)```", README, re.S)
-    assert block is not None
-    exec(compile(block.group(1), "README.md", "exec"), {"__name__": "readme"})
-    printed = capsys.readouterr().out
-    assert printed.startswith("send 1 ")
-    assert "fail" not in printed
-    assert "reject" not in printed
-    assert printed.endswith("served by the other endpoint: True\n")
+def test_the_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+    code_block = re.search(r"```python\n(.*?)```", README, re.S)
+    assert code_block is not None
+    exec(compile(code_block.group(1), "README.md", "exec"), {"__name__": "readme"})
+    output = capsys.readouterr().out
+    assert output.startswith("send 1 ")
+    assert "fail" not in output
+    assert "reject" not in output
+    assert output.endswith("served by the other endpoint: True\n")
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -1,4 +1,4 @@
-"""The check of retired words finds what it must, and nothing else."""
+"""Tests of the check for retired words: which text it reports and which it ignores."""
 
 from __future__ import annotations
 
@@ -107,7 +107,7 @@
     assert found_in_python(source) == []
 
 
-def test_the_line_is_that_of_the_word() -> None:
+def test_a_finding_has_the_line_of_the_word() -> None:
     assert found_in_python('"""One.\n\nTwo, told.\n"""\n\n# three\n# held\nx = kept = 1\n') == [
         (3, "told"),
         (7, "held"),
@@ -115,7 +115,7 @@
     ]
 
 
-def test_pages_are_read_without_quotations_but_with_their_blocks_of_code() -> None:
+def test_pages_are_searched_without_quotations_but_with_code_blocks() -> None:
     page = 'A `told` page\nwith "held" words.\n\n```python\nnews = 1\n```\n\nKept.\n'
     assert found_in_page(page) == [(5, "news"), (8, "kept")]
 
@@ -125,7 +125,7 @@
     assert split_name("MAX_BODY") == "MAX BODY"
 
 
-def test_a_finding_says_where_and_what_to_use_instead() -> None:
+def test_a_finding_prints_its_location_and_the_replacement() -> None:
     assert str(Finding("a/b.py", 7, "told", "notified")) == "a/b.py:7 told -> notified"
 
 
@@ -154,6 +154,6 @@
     assert capsys.readouterr().err == "vocabulary: not in the glossary: endpoint\n"
 
 
-def test_no_retired_word_is_left() -> None:
+def test_the_project_uses_no_retired_word() -> None:
     findings = find_in_project(VOCABULARY)
     assert not findings, "\n".join(map(str, findings))
--- a/tests/vocabulary_check.py
+++ b/tests/vocabulary_check.py
@@ -1,10 +1,10 @@
 """Finds retired words: `python -m tests.vocabulary_check [--counts] [WORD ...]`.
 
-The words and what to use instead stand in docs/GLOSSARY.md, section "Retired words".  They are searched for
-in the names that Python files define, in comments and docstrings, and in some pages; parts of words do not
-count.  Other string literals are not read, as they have the wire's own words; words in backticks or double
-quotes are quotations.  With words as arguments only these are searched for.  The exit code is 0 if nothing is
-found, 1 if something is, 2 for a word that the glossary does not list.
+The section "Retired words" in docs/GLOSSARY.md lists the words and their replacements.  The check searches
+the names that Python files define, comments, docstrings and some Markdown pages, and matches only complete
+words.  Other string literals are skipped, because they contain names of the wire format.  Text in backticks
+or double quotes is skipped as a quotation.  Words given as arguments limit the search to these words.  The
+exit code is 0 without findings, 1 with findings, and 2 for a word that the glossary does not list.
 """
 
 from __future__ import annotations
@@ -23,59 +23,59 @@
 PACKAGES = ("balancer", "gateway", "scale", "simulator", "tests")
 PAGES = ("README.md", "docs/ARCHITECTURE.md", "docs/CAPACITY.md")
 GLOSSARY = ROOT / "docs" / "GLOSSARY.md"
-SECTION = "## Retired words"
+RETIRED_WORDS_HEADING = "## Retired words"
 ALLOWED_FILES = frozenset({"cold_start", "test_cold_start"})
-"""Names of modules that stay, as a command of the project has that name."""
+"""Module names that are allowed because a command of the project has that name."""
 
 ALLOWED_NAMES = frozenset({"ask_within_s"})
-"""Names that stay, as stored records have them: a parameter of an experiment."""
+"""Names that are allowed because stored records contain them: a parameter of an experiment."""
 
-FENCE = re.compile(r"^```\w*", re.MULTILINE)
+CODE_FENCE = re.compile(r"^```\w*", re.MULTILINE)
 QUOTATION = re.compile(r'`[^`]*`|"[^"]{0,200}"')
 NAME_PART = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+|\d+")
 
 
 class Finding(NamedTuple):
-    """A retired word at a line of a file."""
+    """An occurrence of a retired word."""
 
     path: str
     line: int
     word: str
-    instead: str
+    replacement: str
 
     def __str__(self) -> str:
-        return f"{self.path}:{self.line} {self.word} -> {self.instead}"
+        return f"{self.path}:{self.line} {self.word} -> {self.replacement}"
 
 
 class Text(NamedTuple):
-    """Words to be searched, and the line at which they begin."""
+    """Text to be searched and the line where it starts."""
 
     line: int
     words: str
 
 
 def read_retired_words(glossary: str) -> dict[str, str]:
-    """What to use instead of each retired word or phrase.  Raises ValueError if the table is missing."""
-    _, found, section = glossary.partition(SECTION)
+    """Return the replacement for each retired word or phrase; raise ValueError if the table is missing."""
+    _, found, section = glossary.partition(RETIRED_WORDS_HEADING)
     rows = [line.strip().strip("|").split("|") for line in section.splitlines() if line.startswith("|")]
     if not found or len(rows) < 3:
-        raise ValueError(f"the glossary has no table in its section {SECTION!r}")
+        raise ValueError(f"the glossary has no table in its section {RETIRED_WORDS_HEADING!r}")
     return {
-        word.strip(): instead.strip()
-        for retired, instead in rows[2:]  # behind the head of the table
-        for word in retired.split(",")
+        word.strip(): replacement.strip()
+        for words, replacement in rows[2:]  # after the header row and the separator row
+        for word in words.split(",")
     }
 
 
 class Vocabulary:
-    """Retired words, compiled for the search."""
+    """Retired words and their compiled search patterns."""
 
     def __init__(self, retired: Mapping[str, str]) -> None:
         self._retired = retired
-        self._patterns = {word: _pattern(word) for word in retired}
+        self._patterns = {word: _compile_pattern(word) for word in retired}
 
     def find(self, path: str, texts: Iterable[Text]) -> Iterator[Finding]:
-        """The retired words in these texts, each at its line."""
+        """Yield the retired words in these texts with their lines."""
         for text in texts:
             for word, pattern in self._patterns.items():
                 for match in pattern.finditer(text.words):
@@ -83,14 +83,14 @@
                     yield Finding(path, line, word, self._retired[word])
 
 
-def _pattern(word: str) -> re.Pattern[str]:
-    """Matches the word or phrase, at any white space and hyphens between its words, but no part of a word."""
+def _compile_pattern(word: str) -> re.Pattern[str]:
+    """Return a pattern for a complete word, or for a phrase joined by any whitespace and hyphens."""
     phrase = r"[\s-]+".join(re.escape(part) for part in re.split(r"[\s-]+", word))
     return re.compile(rf"(?<!\w){phrase}(?!\w)", re.IGNORECASE)
 
 
 def texts_of_python(source: str) -> Iterator[Text]:
-    """Names that are defined, docstrings and comments of a Python file."""
+    """Yield the defined names, docstrings and comments of a Python file."""
     tree = ast.parse(source)
     for node in ast.walk(tree):
         for name in _defined_names(node):
@@ -103,7 +103,7 @@
 
 
 def split_name(name: str) -> str:
-    """The words of an identifier: it is split at underscores and capitals."""
+    """Return the words of an identifier, split at underscores and capitals and separated by spaces."""
     return " ".join(NAME_PART.findall(name))
 
 
@@ -121,45 +121,45 @@
 
 
 def _docstrings(node: ast.AST) -> Iterator[Text]:
-    """Strings that stand as statements: docstrings, also those of constants and fields."""
+    """Yield strings used as statements: docstrings, including those of constants and fields."""
     if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
         value = node.value.value
         if isinstance(value, str):
-            yield Text(node.lineno, _without_quotations(value))
+            yield Text(node.lineno, _blank_quotations(value))
 
 
 def _comments(source: str) -> Iterator[Text]:
-    """Comments; those on successive lines are one text, as a phrase may be broken between them."""
+    """Yield comments; successive lines form one text, because a phrase may continue on the next line."""
     block: list[str] = []
     first = 0
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type != tokenize.COMMENT:
             continue
         if block and token.start[0] != first + len(block):
-            yield Text(first, _without_quotations("\n".join(block)))
+            yield Text(first, _blank_quotations("\n".join(block)))
             block = []
         first = first if block else token.start[0]
         block.append(token.string.lstrip("#"))
     if block:
-        yield Text(first, _without_quotations("\n".join(block)))
+        yield Text(first, _blank_quotations("\n".join(block)))
 
 
 def texts_of_page(page: str) -> Iterator[Text]:
-    """A Markdown page; blocks of code are read as text."""
-    yield Text(1, _without_quotations(FENCE.sub(_blank, page)))
+    """Yield the text of a Markdown page, including its code blocks."""
+    yield Text(1, _blank_quotations(CODE_FENCE.sub(_blank_out, page)))
 
 
-def _without_quotations(text: str) -> str:
-    return QUOTATION.sub(_blank, text)
+def _blank_quotations(text: str) -> str:
+    return QUOTATION.sub(_blank_out, text)
 
 
-def _blank(match: re.Match[str]) -> str:
-    """Spaces in place of a match; its lines stay."""
+def _blank_out(match: re.Match[str]) -> str:
+    """Replace a match by spaces and retain its line breaks."""
     return re.sub(r"[^\n]", " ", match.group())
 
 
 def find_in_project(vocabulary: Vocabulary, root: Path = ROOT) -> list[Finding]:
-    """All findings, by file and line."""
+    """Return all findings, sorted by file and line."""
     findings: list[Finding] = []
     for package in PACKAGES:
         for path in sorted((root / package).rglob("*.py")):
@@ -180,7 +180,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """0 if no retired word is found, 1 if some are, 2 for a word that the glossary does not list."""
+    """Print the findings and return the exit code."""
     retired = read_retired_words(GLOSSARY.read_text())
     words = [argument for argument in arguments if argument != "--counts"]
     if unknown := [word for word in words if word not in retired]:
