--- a/simulator/decoder.py
+++ b/simulator/decoder.py
@@ -147,7 +147,7 @@
         if state > EndpointState.DRAINING:
             raise WireError(f"unknown endpoint state {state}")
         if not isfinite(weight):
-            raise WireError(f"endpoint weight {weight} is not finite")
+            raise WireError(f"endpoint weight must be finite, not {weight}")
         entries.append(
             EndpointEntry(endpoint_id, zone, machine_type, cell, EndpointState(state), weight, started_ns)
         )
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -100,7 +100,7 @@
                 + ENDPOINT_ID
                 + struct.pack(">BHHBfQ", 1, 0, 0, 1, float("inf"), 0),
             ),
-            "endpoint weight inf is not finite",
+            "endpoint weight must be finite, not inf",
         ),
         (
             frame(instance_started(), struct.pack(">BH6sHQBf", 8, 3, ENDPOINT_ID, 200, 1, 1, float("nan"))),
--- a/tests/vocabulary_check.py
+++ b/tests/vocabulary_check.py
@@ -130,18 +130,18 @@
 
 def _comments(source: str) -> Iterator[Text]:
     """Yield comments; successive lines form one text, because a phrase may continue on the next line."""
-    block: list[str] = []
-    first = 0
+    comment_lines: list[str] = []
+    first_line = 0
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
         if token.type != tokenize.COMMENT:
             continue
-        if block and token.start[0] != first + len(block):
-            yield Text(first, _blank_quotations("\n".join(block)))
-            block = []
-        first = first if block else token.start[0]
-        block.append(token.string.lstrip("#"))
-    if block:
-        yield Text(first, _blank_quotations("\n".join(block)))
+        if comment_lines and token.start[0] != first_line + len(comment_lines):
+            yield Text(first_line, _blank_quotations("\n".join(comment_lines)))
+            comment_lines = []
+        first_line = first_line if comment_lines else token.start[0]
+        comment_lines.append(token.string.lstrip("#"))
+    if comment_lines:
+        yield Text(first_line, _blank_quotations("\n".join(comment_lines)))
 
 
 def texts_of_page(page: str) -> Iterator[Text]:
