--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -49,11 +49,11 @@
     timers, watch = harness.gateway.timers, harness.gateway.discovery.watch
     call_after = timers.call_after
 
-    def shorten(delay_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        if call == watch:
+    def shorten(delay_ns: int, callback: Callable[[Any], None], argument: Any) -> None:
+        if callback == watch:
             delays_ns.append(delay_ns)
             delay_ns //= TIMER_SPEEDUP
-        call_after(delay_ns, call, argument)
+        call_after(delay_ns, callback, argument)
 
     timers.call_after = shorten  # type: ignore[method-assign]
 
