--- a/scale/cold_start/__init__.py
+++ b/scale/cold_start/__init__.py
@@ -1,5 +1,5 @@
-"""Simulated gateways beside an endpoint in slow start: whether what all of them send it overloads it.
+"""Simulation of many gateways and an endpoint in slow start, to test whether their joint load overloads it.
 
-It is all in one process on one simulated clock: balancers, a model of the endpoints, and a judge that counts
-requests alone, takes the least capacity of each window and shares no code with the balancer.
+Balancers and modelled endpoints run in one process on one simulated clock.  The overload check shares no code
+with the balancer: it uses only the arrival times of requests and the lowest capacity within each window.
 """
--- a/scale/cold_start/fleet.py
+++ b/scale/cold_start/fleet.py
@@ -1,4 +1,4 @@
-"""The model of a fleet: gateways and endpoints on one simulated clock, and the events of a scenario."""
+"""Model of a fleet: gateways and endpoints on one simulated clock, driven by the events of a scenario."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 from .endpoint import SimulatedEndpoint
 from .gateway import OnAttemptEnd, SimulatedGateway
-from .judge import Verdict, judge
+from .judge import OverloadResult, measure_overload
 from .scenario import Scenario
 
 __all__ = ["SimulatedFleet", "run_scenario"]
 
-OBSERVED = "cold"
-"""The name of the observed endpoint; a balancer's choices follow from the names."""
+OBSERVED_ENDPOINT = "cold"
+"""ID of the observed endpoint; it is fixed because the balancers' choices depend on endpoint IDs."""
 START_NS = 100 * SECOND
-"""When the observed endpoint starts; a moment near the clock's zero would pass for a start."""
+"""Start time of the observed endpoint; far from 0, so that a start time of 0 is long past."""
 BEFORE_START_NS = 8 * SECOND
-"""How long the gateways run before."""
+"""How long the gateways run before the observed endpoint starts."""
 CHANGE_NS = START_NS + 4 * SECOND
-"""When the load surges or the other endpoints leave."""
+"""Time at which the load surges or the other endpoints are removed."""
 DISCOVERY_DELAY_NS = 100 * MS
-"""Within this time every gateway gets the list with the observed endpoint."""
+"""Longest delay until a gateway gets the endpoint list with the observed endpoint."""
 NETWORK_DELAY_NS = MS
-"""From a gateway to an endpoint, and back."""
-GATEWAY_LOADS = (0.4, 0.6, 0.8, 1.0, 1.0, 1.3, 4.0)
-"""The load of a gateway beside others: some get several times the mean."""
+"""One-way delay between a gateway and an endpoint."""
+RELATIVE_GATEWAY_LOADS = (0.4, 0.6, 0.8, 1.0, 1.0, 1.3, 4.0)
+"""Relative loads from which one is drawn for each gateway; some gateways get several times the mean."""
 
 
-def _settings(scenario: Scenario, number: int) -> Settings:
-    """The settings of gateway `number`."""
+def _make_settings(scenario: Scenario, number: int) -> Settings:
+    """Return the balancer settings of gateway `number`."""
     request_class = RequestClass(
         "c",
         latency_objective_ns=8 * scenario.mean_work_ns,
@@ -66,29 +66,31 @@
 
 
 class SimulatedFleet:
-    """Gateways and endpoints on one clock; implements the `Network` of its gateways."""
+    """Simulated gateways and endpoints on one clock; implements `Network` for its gateways."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.now_ns = START_NS if scenario.gateways_start else START_NS - BEFORE_START_NS
         self.served = 0
-        """Requests whose client got its response."""
+        """Number of requests whose client received its response."""
         self._received = 0
         self._scenario = scenario
         self._random = Random(seed)
-        self._events: list[tuple[int, int, Callable[[], None]]] = []  # a heap of times, numbers, callbacks
-        self._event_numbers = count()
-        self._arrivals_ns: list[int] = []  # of requests at the observed endpoint
-        names = [OBSERVED] + [f"{self._random.getrandbits(48):x}" for _ in range(scenario.endpoints)]
+        self._events: list[tuple[int, int, Callable[[], None]]] = []  # heap: time, sequence number, callback
+        self._sequence_numbers = count()
+        self._arrivals_ns: list[int] = []  # arrival times of requests at the observed endpoint
+        names = [OBSERVED_ENDPOINT] + [f"{self._random.getrandbits(48):x}" for _ in range(scenario.endpoints)]
         self._zones: dict[EndpointId, int] = {
             name: number % scenario.zones for number, name in enumerate(names)
         }
-        by_zone = sorted(names, key=lambda name: self._zones[name])  # the observed one stays the first
-        self._starting = by_zone[: 1 + round(scenario.starting_share * scenario.endpoints)]
+        names_by_zone = sorted(
+            names, key=lambda name: self._zones[name]
+        )  # stable sort: the observed endpoint stays first
+        self._starting = names_by_zone[: 1 + round(scenario.starting_share * scenario.endpoints)]
         self._endpoints: dict[EndpointId, SimulatedEndpoint] = {
             name: self._make_endpoint(name in self._starting) for name in names
         }
         self._gateways = [
-            SimulatedGateway(self, _settings(scenario, number), self._random.getrandbits(32))
+            SimulatedGateway(self, _make_settings(scenario, number), self._random.getrandbits(32))
             for number in range(scenario.gateways)
         ]
         self._schedule()
@@ -101,11 +103,11 @@
         return SimulatedEndpoint(scenario, speed, None)
 
     def _schedule(self) -> None:
-        """The events of the scenario."""
-        scenario, draw = self._scenario, self._random
-        loads = [draw.choice(GATEWAY_LOADS) for _ in self._gateways]
+        """Schedule the initial events of the scenario."""
+        scenario, rng = self._scenario, self._random
+        loads = [rng.choice(RELATIVE_GATEWAY_LOADS) for _ in self._gateways]
         requests_per_s = scenario.load * sum(
-            endpoint.capacity(0)
+            endpoint.capacity_per_s(0)
             for name, endpoint in self._endpoints.items()
             if scenario.restarted or name not in self._starting
         )
@@ -113,10 +115,10 @@
             mean_gap_ns = SECOND * sum(loads) / (load * requests_per_s)
             self._publish(gateway, with_starting=self.now_ns >= START_NS)
             self.call_later(
-                int(draw.expovariate(1 / mean_gap_ns)), partial(self._receive, gateway, mean_gap_ns)
+                int(rng.expovariate(1 / mean_gap_ns)), partial(self._receive_request, gateway, mean_gap_ns)
             )
             if not scenario.gateways_start:
-                delay_ns = START_NS - self.now_ns + int(draw.random() * DISCOVERY_DELAY_NS)
+                delay_ns = START_NS - self.now_ns + int(rng.random() * DISCOVERY_DELAY_NS)
                 self.call_later(delay_ns, partial(self._publish, gateway))
             if scenario.others_leave:
                 self.call_later(CHANGE_NS - self.now_ns, partial(self._publish, gateway, with_others=False))
@@ -130,7 +132,7 @@
     def _publish(
         self, gateway: SimulatedGateway, with_starting: bool = True, with_others: bool = True
     ) -> None:
-        """A snapshot, with or without the endpoints that start and with or without the others."""
+        """Send a gateway a snapshot; the flags select the endpoints that start and the others."""
         entries = []
         for name, endpoint in self._endpoints.items():
             is_starting = name in self._starting
@@ -147,28 +149,28 @@
         gateway.start(self._random.getrandbits(32))
         self._publish(gateway)
 
-    def _receive(self, gateway: SimulatedGateway, mean_gap_ns: float) -> None:
-        """A request comes to a gateway, and the next one is due."""
+    def _receive_request(self, gateway: SimulatedGateway, mean_gap_ns: float) -> None:
+        """Hand a new request to a gateway and schedule the next one."""
         self._received += 1
         request_id = self._received
         surge = self._scenario.surge_factor if self.now_ns > CHANGE_NS else 1.0
         gap_ns = int(self._random.expovariate(surge / mean_gap_ns))
-        self.call_later(gap_ns, partial(self._receive, gateway, mean_gap_ns))
+        self.call_later(gap_ns, partial(self._receive_request, gateway, mean_gap_ns))
         gateway.receive(request_id)
 
     # ---- Network -----------------------------------------------------------------------------------
 
     def call_later(self, delay_ns: int, callback: Callable[[], None]) -> None:
-        """Call back when the clock has advanced by the delay; of equal times the earlier call goes first."""
-        heappush(self._events, (self.now_ns + delay_ns, next(self._event_numbers), callback))
+        """Call `callback` after `delay_ns`; callbacks due at the same time run in the order of scheduling."""
+        heappush(self._events, (self.now_ns + delay_ns, next(self._sequence_numbers), callback))
 
     def send(self, endpoint_id: EndpointId, timeout_ns: int, on_end: OnAttemptEnd) -> None:
-        """Send an attempt to an endpoint."""
+        """Send an attempt to an endpoint and schedule its outcome."""
         endpoint = self._endpoints[endpoint_id]
         arrival_ns = self.now_ns + NETWORK_DELAY_NS
-        if endpoint_id == OBSERVED and self.now_ns >= START_NS:
+        if endpoint_id == OBSERVED_ENDPOINT and self.now_ns >= START_NS:
             self._arrivals_ns.append(arrival_ns)
-        end_ns = endpoint.begin(arrival_ns, self._random.gammavariate(4, 0.25))
+        end_ns = endpoint.start_request(arrival_ns, self._random.gammavariate(4, 0.25))
         if end_ns is None:
             self.call_later(2 * NETWORK_DELAY_NS, partial(on_end, Outcome.OVERLOADED, ()))
         else:
@@ -178,19 +180,19 @@
         self.call_later(timeout_ns, partial(on_end, Outcome.TIMEOUT, ()))
 
     def count_served(self) -> None:
-        """A client has got its response."""
+        """Count a request whose client has received its response."""
         self.served += 1
 
     # ---- The run -----------------------------------------------------------------------------------
 
-    def run(self) -> Verdict:
-        """Run the scenario to its end."""
+    def run(self) -> OverloadResult:
+        """Run the scenario to its end and return the load on the observed endpoint."""
         end_ns = START_NS + self._scenario.seconds * SECOND
         while self._events and self._events[0][0] <= end_ns:
             self.now_ns, _, callback = heappop(self._events)
             callback()
-        return judge(
-            self._endpoints[OBSERVED],
+        return measure_overload(
+            self._endpoints[OBSERVED_ENDPOINT],
             self._scenario.rules,
             self._arrivals_ns,
             START_NS,
@@ -199,6 +201,6 @@
         )
 
 
-def run_scenario(scenario: Scenario, seed: int) -> Verdict:
-    """Run a scenario on one seed."""
+def run_scenario(scenario: Scenario, seed: int) -> OverloadResult:
+    """Run a scenario with one seed."""
     return SimulatedFleet(scenario, seed).run()
--- a/scale/cold_start/gateway.py
+++ b/scale/cold_start/gateway.py
@@ -1,4 +1,4 @@
-"""The model of a gateway: a balancer whose actions go to the simulated network."""
+"""Model of a gateway: a balancer whose actions are carried out by the simulated network."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 __all__ = ["Network", "OnAttemptEnd", "SimulatedGateway"]
 
 OnAttemptEnd = Callable[[Outcome, Sequence[float]], None]
-"""Takes the outcome of an attempt and the load report that came with it."""
+"""Callback that receives the outcome of an attempt and the load report of the response."""
 
 
 class Network(Protocol):
-    """The clock, the timers and the way to the endpoints."""
+    """Clock, timers and transport that the simulation provides to its gateways."""
 
     now_ns: int
 
     def call_later(self, delay_ns: int, callback: Callable[[], None]) -> None:
-        """Call back when the clock has advanced by the delay."""
+        """Call `callback` when the clock has advanced by `delay_ns`."""
 
     def send(self, endpoint_id: EndpointId, timeout_ns: int, on_end: OnAttemptEnd) -> None:
-        """Send an attempt to an endpoint; `on_end` may be called more than once, the first call counts."""
+        """Send an attempt to an endpoint; `on_end` may be called repeatedly, only the first call counts."""
 
     def count_served(self) -> None:
-        """A client has got its response."""
+        """Count a request whose client has received its response."""
 
 
 class SimulatedGateway:
-    """One gateway; implements `balancer.Actions`.  A restart replaces its balancer."""
+    """Simulated gateway that implements `balancer.Actions`; a restart replaces its balancer."""
 
     def __init__(self, network: Network, settings: Settings, seed: int) -> None:
         self._network = network
@@ -48,17 +48,19 @@
         self.start(seed)
 
     def start(self, seed: int) -> None:
-        """Start, or start again, with no memory of what was before."""
-        self._attempts_sent: dict[int, int] = {}  # by the number of an open request
-        self._in_flight: dict[tuple[int, int], tuple[EndpointId, int]] = {}  # with the time of sending, ns
+        """Start or restart the gateway; no state is kept from before a restart."""
+        self._attempts_sent: dict[int, int] = {}  # by ID of the open request
+        self._in_flight: dict[
+            tuple[int, int], tuple[EndpointId, int]
+        ] = {}  # endpoint and time of sending, ns
         self._balancer = Balancer(self._settings, seed, self)
 
     def update_endpoints(self, entries: Sequence[EndpointEntry]) -> None:
-        """Discovery has published this snapshot."""
+        """Apply a snapshot of the endpoint list published by discovery."""
         self._balancer.on_endpoint_list(self._network.now_ns, UpdateKind.SNAPSHOT, entries)
 
     def receive(self, request_id: int) -> None:
-        """A client's request has come."""
+        """Handle a new request of a client."""
         self._attempts_sent[request_id] = 0
         timeout_ns = self._settings.classes[0].deadline_ns
         incoming = IncomingRequest(request_id, 0, 0, 0, timeout_ns, 0, False)
@@ -92,44 +94,44 @@
     # ---- Actions -----------------------------------------------------------------------------------
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
-        """Send the next attempt of a request."""
+        """Send the next attempt of a request to an endpoint."""
         attempt = self._attempts_sent[request_id]
         self._attempts_sent[request_id] += 1
         self._in_flight[request_id, attempt] = (endpoint_id, self._network.now_ns)
         on_end = partial(self._on_attempt_end, self._balancer, request_id, attempt)
         self._network.send(endpoint_id, timeout_ns, on_end)
 
-    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - of the interface
-        """Fail a request."""
+    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - parameter of the interface
+        """Remove a failed request from the open requests."""
         self._attempts_sent.pop(request_id, None)
 
-    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - as above
-        """Reject a request."""
+    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - interface
+        """Remove a rejected request from the open requests."""
         self._attempts_sent.pop(request_id, None)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
-        """Cancel an attempt in flight; its end is an event of its own."""
+        """Cancel an attempt in flight; its end is delivered later as a separate event."""
         on_end = partial(self._on_attempt_end, self._balancer, request_id, attempt)
         self._network.call_later(0, partial(on_end, Outcome.CANCELLED, ()))
 
     def set_timer(self, token: int, delay_ns: int) -> None:
-        """Set a timer."""
+        """Call the balancer's `on_timer` with `token` after `delay_ns`."""
         self._network.call_later(delay_ns, partial(self._on_timer, self._balancer, token))
 
     def watch_endpoints(self, active: bool) -> None:
-        """Nothing: lists come by the scenario."""
+        """Do nothing: the scenario publishes the endpoint lists."""
 
     def fetch_endpoints(self) -> None:
-        """Nothing: lists come by the scenario."""
+        """Do nothing: the scenario publishes the endpoint lists."""
 
     def check_health(self, endpoint_id: EndpointId) -> None:
-        """Nothing: the settings allow none."""
+        """Do nothing: the settings of the simulation allow no health checks."""
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> None:
-        """Nothing: connections are not modelled."""
+        """Do nothing: connections are not modelled."""
 
     def send_gossip(self, peer: int | None, content: bytes) -> None:
-        """Nothing: the settings allow none."""
+        """Do nothing: the settings of the simulation allow no gossip."""
 
     def log(self, text: str) -> None:
-        """Nothing: no one reads it."""
+        """Discard the text: the simulation has no log."""
--- a/scale/cold_start/judge.py
+++ b/scale/cold_start/judge.py
@@ -1,4 +1,4 @@
-"""The judge: whether the observed endpoint was overloaded, from the times of its requests alone."""
+"""Overload check: whether the observed endpoint was overloaded, computed from arrival times only."""
 
 from __future__ import annotations
 
@@ -10,50 +10,52 @@
 
 from .endpoint import SimulatedEndpoint
 
-__all__ = ["Verdict", "judge"]
+__all__ = ["OverloadResult", "measure_overload"]
 
 STEPS_PER_SECOND = 10
-"""Steps in which the capacity is summed up."""
+"""Steps per second in which the capacity is integrated over a run."""
 
 
-class Verdict(NamedTuple):
-    """What the observed endpoint got, and what the clients got."""
+class OverloadResult(NamedTuple):
+    """Load on the observed endpoint and share of served requests in one run."""
 
-    worst_window: float
-    """Its requests in the worst window, as a part of what it bears; above 1 it was overloaded."""
-    budget_used: float
-    """Its requests, as a part of what it bears in all of the run."""
+    worst_window_share: float
+    """Requests in the worst window relative to the allowed number; above 1 the endpoint was overloaded."""
+    budget_used_share: float
+    """Requests during the run relative to the overload budget of the whole run."""
     requests: int
-    """Its requests."""
+    """Number of requests that the endpoint received."""
     served_share: float
-    """Share of all clients' requests that were served."""
+    """Share of the requests of all clients that were served."""
 
 
-def judge(
+def measure_overload(
     endpoint: SimulatedEndpoint,
     rules: Rules,
     arrivals_ns: Sequence[int],
     start_ns: int,
     seconds: int,
     served_share: float,
-) -> Verdict:
-    """Goes through every window that ends with a request; `arrivals_ns` are ascending.
+) -> OverloadResult:
+    """Return the worst load over all windows that end at an arrival; `arrivals_ns` must be ascending.
 
-    What an endpoint bears is a multiple of the least capacity of a window, plus two standard deviations and
-    two requests, as requests come in random bursts.
+    The allowed number of requests in a window is `overload_factor` times the lowest capacity in the window,
+    plus two standard deviations and two requests, because requests arrive in random bursts.
     """
     window_ns = rules.overload_window_ns
-    worst, first = -inf, 0
+    worst_share, first = -inf, 0
     for last, arrival_ns in enumerate(arrivals_ns):
         while arrivals_ns[first] <= arrival_ns - window_ns:
             first += 1
-        least_capacity = endpoint.capacity(max(start_ns, arrival_ns - window_ns))
-        bearable = rules.overload_factor * least_capacity * window_ns / SECOND
-        worst = max(worst, (last - first + 1) / (bearable + 2 * sqrt(bearable) + 2))
+        min_capacity_per_s = endpoint.capacity_per_s(max(start_ns, arrival_ns - window_ns))
+        allowed_requests = rules.overload_factor * min_capacity_per_s * window_ns / SECOND
+        worst_share = max(
+            worst_share, (last - first + 1) / (allowed_requests + 2 * sqrt(allowed_requests) + 2)
+        )
     budget = sum(
         rules.overload_factor
-        * endpoint.capacity(start_ns + step * SECOND // STEPS_PER_SECOND)
+        * endpoint.capacity_per_s(start_ns + step * SECOND // STEPS_PER_SECOND)
         / STEPS_PER_SECOND
         for step in range(STEPS_PER_SECOND * seconds)
     )
-    return Verdict(worst, len(arrivals_ns) / budget, len(arrivals_ns), served_share)
+    return OverloadResult(worst_share, len(arrivals_ns) / budget, len(arrivals_ns), served_share)
--- a/scale/cold_start/scenario.py
+++ b/scale/cold_start/scenario.py
@@ -1,4 +1,4 @@
-"""The scenarios: sizes, and the conditions that go with them."""
+"""Scenarios of the cold-start simulation: fleet sizes and the conditions combined with them."""
 
 from __future__ import annotations
 
@@ -26,46 +26,46 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is the same on every seed.  One endpoint, the observed one, starts while it runs."""
+    """Parameters that are the same on every seed.  The observed endpoint starts during the run."""
 
     gateways: int
     endpoints: int
-    """Endpoints beside the observed one."""
+    """Number of endpoints, the observed one not included."""
     zones: int = 1
     cores: int = 1
-    """Cores of each endpoint."""
+    """Number of cores of each endpoint."""
     mean_work_ns: int = 50 * MS
-    """Mean time of a request on a core."""
+    """Mean processing time of a request on one core."""
     load: float = 0.7
-    """Arriving work as a share of what the endpoints can do that serve before the start."""
+    """Offered load as a share of the total capacity of the endpoints that serve before the start."""
     load_reports: bool = True
     gateways_start: bool = False
     """Whether all gateways start together with the observed endpoint."""
     rolling_restarts: bool = False
-    """Whether a tenth of the gateways restarts every half second."""
+    """Whether a tenth of the gateways restarts every 0.5 s, beginning 0.5 s after the start."""
     starting_speed: float = 1.0
-    """Speed of the endpoints that start; if not 1, the others have 0.6, 1.0 or 1.4, in the mean 1."""
+    """Speed of the endpoints that start; unless it is 1, the others have 0.6, 1.0 or 1.4 at random, mean 1."""
     speed_in_weight: bool = False
-    """Whether the weight in the endpoint list is the speed."""
+    """Whether the weights in the endpoint list equal the speeds of the endpoints."""
     hidden_slow_start: bool = False
-    """Whether endpoints that start respond as fast as all others, and report that they are idle."""
+    """Whether endpoints in slow start respond at full speed and report no requests in flight."""
     max_in_flight_per_core: int = 20
-    """Requests that an endpoint takes at once."""
+    """Most requests in flight per core; an endpoint rejects further ones."""
     starting_share: float = 0.0
-    """Share of the other endpoints that start with the observed one, those of its zone first."""
+    """Share of the other endpoints that start together with the observed one, those of its zone first."""
     restarted: bool = False
-    """Whether those that start were in the list before."""
+    """Whether the endpoints that start were in the endpoint list before (they restart)."""
     surge_factor: float = 1.0
-    """Times as much load from 4 s after the start on."""
+    """Factor by which the load grows 4 s after the start."""
     others_leave: bool = False
-    """Whether the endpoints that don't start leave the list, 4 s after the start."""
+    """Whether all endpoints that don't start are removed from the list 4 s after the start."""
     rules: Rules = DEFAULT_RULES
     seconds: int = 10
-    """How long it runs after the start."""
+    """Duration of the run after the start of the observed endpoint."""
 
 
 SIZES = ((2, 8), (8, 6), (8, 20), (20, 6), (20, 20), (30, 6), (30, 30), (200, 6), (200, 20), (200, 200))
-"""Gateways and endpoints."""
+"""Pairs of the number of gateways and the number of endpoints."""
 VARIANTS: tuple[tuple[str, dict[str, Any]], ...] = (
     ("full", {"load": 1.1}),
     ("idle", {"load": 0.3}),
@@ -96,11 +96,11 @@
     ("all cold steep", {"load": 0.9, "starting_share": 1.0, "restarted": True, "rules": STEEP_RULES}),
     ("steep", {"load": 0.9, "rules": STEEP_RULES}),
 )
-"""Conditions by the names under which they are chosen and printed: fields of `Scenario`."""
+"""Name of each variant, as selected and printed by the command, and the `Scenario` fields that it sets."""
 
 
 def scenarios() -> Iterator[tuple[str, Scenario]]:
-    """Each size alone and with each variant, by name: `GATEWAYS/ENDPOINTS VARIANT`."""
+    """Yield every size alone and with each variant, named `GATEWAYS/ENDPOINTS VARIANT`."""
     for gateways, endpoints in SIZES:
         base = Scenario(gateways, endpoints)
         name = f"{gateways}/{endpoints}"
--- a/tests/scale/test_cold_start.py
+++ b/tests/scale/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Many simulated gateways beside endpoints in slow start: what all of them send together."""
+"""Cold-start simulation: the joint load of many gateways on endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 
 
 @pytest.mark.parametrize(("gateways", "endpoints"), [(2, 8), (8, 6), (20, 6), (30, 6), (200, 20)])
-def test_gateways_that_start_with_all_their_endpoints_use_them(gateways: int, endpoints: int) -> None:
-    """Without a response they knew no rate: they sent nothing until the slow start was over, 23 s later."""
+def test_gateways_that_start_together_with_all_endpoints_send_requests(gateways: int, endpoints: int) -> None:
+    """Guards against gateways that never send to endpoints in slow start.
+
+    A gateway without any response knew no rate, so it sent nothing until the slow start ended after 23 s.
+    """
     scenario = Scenario(
         gateways, endpoints, gateways_start=True, restarted=True, starting_share=1.0, seconds=8
     )
     fleet = SimulatedFleet(scenario, seed=1)
-    verdict = fleet.run()
+    result = fleet.run()
     assert fleet.served > 0
-    assert verdict.budget_used > 0.02
-    assert verdict.worst_window < 1.0
+    assert result.budget_used_share > 0.02
+    assert result.worst_window_share < 1.0
 
 
 @pytest.mark.parametrize(("gateways", "endpoints"), [(2, 1), (8, 3), (20, 6), (30, 6)])
 @pytest.mark.parametrize("mean_work_ns", [12 * MS, 50 * MS])
-def test_the_overload_budget_holds_where_nothing_else_limits_the_load(
+def test_overload_budget_holds_when_nothing_else_limits_the_load(
     gateways: int, endpoints: int, mean_work_ns: int
 ) -> None:
-    """Endpoints in slow start that respond as fast as others and report idle, under too much load.
+    """Endpoints in slow start respond at full speed and report idle, under 1.5 times the capacity.
 
-    A fifth of what an endpoint bears has to be left: its speed and what others send it are estimates.
+    A fifth of the allowed load must stay unused: the speed of an endpoint and the load from other gateways
+    are only estimates.
     """
     for seed in range(2):
         scenario = Scenario(
@@ -42,6 +46,6 @@
             starting_share=1.0,
             seconds=3,
         )
-        verdict = SimulatedFleet(scenario, seed).run()
-        assert verdict.budget_used > 0.2
-        assert verdict.worst_window < 0.8
+        result = SimulatedFleet(scenario, seed).run()
+        assert result.budget_used_share > 0.2
+        assert result.worst_window_share < 0.8
