--- a/scale/cold_start/fleet.py
+++ b/scale/cold_start/fleet.py
@@ -82,9 +82,8 @@
         self._zones: dict[EndpointId, int] = {
             name: number % scenario.zones for number, name in enumerate(names)
         }
-        names_by_zone = sorted(
-            names, key=lambda name: self._zones[name]
-        )  # stable sort: the observed endpoint stays first
+        # The sort is stable, so the observed endpoint stays first.
+        names_by_zone = sorted(names, key=lambda name: self._zones[name])
         self._starting = names_by_zone[: 1 + round(scenario.starting_share * scenario.endpoints)]
         self._endpoints: dict[EndpointId, SimulatedEndpoint] = {
             name: self._make_endpoint(name in self._starting) for name in names
--- a/scale/cold_start/scenario.py
+++ b/scale/cold_start/scenario.py
@@ -44,7 +44,7 @@
     rolling_restarts: bool = False
     """Whether a tenth of the gateways restarts every 0.5 s, beginning 0.5 s after the start."""
     starting_speed: float = 1.0
-    """Speed of the endpoints that start; unless it is 1, the others have 0.6, 1.0 or 1.4 at random, mean 1."""
+    """Speed of the endpoints that start; unless it is 1, the others have 0.6, 1.0 or 1.4 (mean 1)."""
     speed_in_weight: bool = False
     """Whether the weights in the endpoint list equal the speeds of the endpoints."""
     hidden_slow_start: bool = False
--- a/scale/experiments/__init__.py
+++ b/scale/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""The experiments by name."""
+"""Registry of the scale experiments by name."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Experiment(NamedTuple):
-    """An experiment and its sizes.
+    """Experiment and the sizes at which it runs.
 
-    `run(size, seed, **options)` returns figures whose names end in their units; the names of its options are
-    those of the command line.  It may raise OSError (timeouts are such), RuntimeError or ValueError, and ends
-    all that it began.
+    `run(size, seed, **options)` returns figures whose names end in their units; its option names are those of
+    `--set` on the command line.  It may raise OSError (which includes timeouts), RuntimeError or ValueError,
+    and stops all tasks and processes that it started.
     """
 
     run: Callable[..., Coroutine[Any, Any, dict[str, float]]]
     sizes: tuple[int, ...]
-    """Sizes by default."""
+    """Sizes used by default."""
     largest: int
-    """The largest size that a machine is expected to bear."""
+    """Largest size that one machine is expected to handle."""
 
 
 EXPERIMENTS = {
@@ -31,4 +31,4 @@
     "latency": Experiment(latency.run, latency.SIZES, 75_000),
     "settings": Experiment(settings.run, settings.SIZES, 500_000),
 }
-"""By their names on the command line and in the records."""
+"""Experiments by their name on the command line and in the stored records."""
--- a/scale/experiments/endpoints.py
+++ b/scale/experiments/endpoints.py
@@ -1,4 +1,4 @@
-"""What the endpoint list costs one gateway, by their number: a snapshot, a change, a zone's loss."""
+"""Experiment `hosts`: cost of endpoint list updates for one gateway, by the number of endpoints."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 SIZES = (75, 250, 750, 2500, 7500)
 UNLIMITED = Capacity(calls_per_s=10_000.0, lines_per_call=1e9)
-"""No queue: it is not what is measured here."""
+"""Capacity at which discovery queues no calls, as queueing is not measured here."""
 ENDPOINTS_PER_GATEWAY = 10
-"""At the size that the gateway is designed for."""
+"""Ratio of endpoints to gateways in the fleet that the gateway is designed for."""
 
 
 async def run(size: int, seed: int, zones: int = 3, gateways: int = 0, changes: int = 5) -> dict[str, float]:
-    """`size` endpoints, and one headless gateway in a process of its own.
+    """Measure a snapshot, single changes and the loss of a zone with `size` endpoints and one gateway.
 
-    It is one of `gateways`, or where that is 0 of one for each ten endpoints: it draws from its subset of the
-    endpoints.
+    The gateway is headless, runs in a process of its own and is one of `gateways` replicas, or of one for
+    every ten endpoints if that is 0; it draws from its subset of the endpoints.
 
-    Times in ms are CPU time of that process; the longest stall of its event loop (`hold_ms`) and the time
-    until an update is in force are of the wall clock.  The figures of a change are means over `changes`, its
-    stall is the longest.
+    Times in ms are CPU time of that process, except the longest event loop stall (`hold_ms`) and the time
+    until an update is in force, which are wall-clock times.  The figures of a change are means over
+    `changes`; its `hold_ms` is the maximum.
     """
     fleet = Fleet(size, zones, seed)
     registry = await Registry(fleet.rows.values(), UNLIMITED, generation=100).start()
@@ -40,7 +40,7 @@
             figures = {"start_rss_mb": (await pool.take_figures())["rss_mb"]}
             begun_ns = await pool.start()
             figures |= await _update_figures(pool, registry, "list", begun_ns, 0)
-            figures |= _summary(
+            figures |= _summarize_changes(
                 [await _publish(pool, registry, "change", fleet.drain(1)) for _ in range(changes)]
             )
             return figures | await _publish(pool, registry, "zone", fleet.lose_zone(fleet.zones[-1]))
@@ -48,8 +48,8 @@
         await registry.close()
 
 
-def _summary(changes: list[dict[str, float]]) -> dict[str, float]:
-    """The longest stall, and the mean of every other figure."""
+def _summarize_changes(changes: list[dict[str, float]]) -> dict[str, float]:
+    """Return the maximum of the event loop stall and the mean of every other figure."""
     return {
         name: max(change[name] for change in changes)
         if name == "change_hold_ms"
@@ -61,7 +61,7 @@
 async def _publish(
     pool: WorkerPool, registry: Registry, name: str, changed: list[EndpointRow]
 ) -> dict[str, float]:
-    """Publish a change; its figures, with this name before theirs."""
+    """Publish a change and return its figures; `name` is the prefix of their names."""
     bytes_before, begun_ns = registry.counts.update_bytes(), monotonic_ns()
     registry.publish(changed)
     return await _update_figures(pool, registry, name, begun_ns, bytes_before)
--- a/scale/experiments/gateways.py
+++ b/scale/experiments/gateways.py
@@ -1,4 +1,4 @@
-"""What a change, a zone's loss and a restart of all cost discovery and its gateways, by their number."""
+"""Experiment `gateways`: cost of endpoint list updates and of a restart of all gateways, by their number."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 SIZES = (20, 90, 240, 720)
 PROCESSES = 8
 MAX_ENDPOINT_STATES = 720 * 7_500
-"""Endpoints summed over all gateways: each has a state of its own for each, of some 1.5 kB."""
+"""Limit of gateways times endpoints: each gateway holds a state of about 1.5 kB for each endpoint."""
 WATCH_TIMEOUT_S = 60.0
-"""Longest wait until every gateway watches, or none."""
+"""Longest wait until all gateways, or none, have a watch open."""
 
 
 async def run(
@@ -31,15 +31,17 @@
     ask_within_s: float = 4.0,
     calls_per_s: float = 200.0,
 ) -> dict[str, float]:
-    """`size` headless gateways over up to 8 processes, which poll one stand-in of discovery in this process.
+    """Measure a change, the loss of a zone and a restart of all gateways with `size` headless gateways.
 
-    `hosts` is the number of endpoints, `ask_within_s` the poll interval.  After a change while all watch, and
-    after the loss of a zone: the time until it is in force at the median gateway, at 99 of 100 and at the
-    last.  Then all are killed, a change is published, and all start at once with their cached list: the
-    calls, the failed ones, the bytes and the time until the change is in force at all.  The CPU time of the
-    gateways, and the longest stall of an event loop (`hold_ms`), are of processes that many of them share.
+    The gateways run in up to 8 processes and poll one discovery stub in this process.  `hosts` is the number
+    of endpoints, `ask_within_s` the poll interval.  The change and the loss of a zone are published while all
+    gateways watch; their figures are the time until the update is in force at the median gateway, at 99% of
+    the gateways and at the last one.  Then all gateways are killed, a change is published, and all start at
+    once with their cached list; the figures are the calls, the failed calls, the bytes and the time until the
+    change is in force at all gateways.  The CPU time of the gateways and the longest event loop stall
+    (`hold_ms`) are measured per process, and many gateways share a process.
 
-    Raises ValueError for more gateways times endpoints than MAX_ENDPOINT_STATES.
+    Raises ValueError if gateways times endpoints exceed MAX_ENDPOINT_STATES.
     """
     if size * hosts > MAX_ENDPOINT_STATES:
         raise ValueError(
@@ -62,9 +64,9 @@
             await wait_until(lambda: not registry.watch_count, WATCH_TIMEOUT_S)
             registry.publish(fleet.replace(1))
             await pool.launch(configuration, size, PROCESSES)
-            phase = _Phase(registry)
+            measurement = _UpdateMeasurement(registry)
             await pool.start()
-            return figures | await phase.end("restart", pool)
+            return figures | await measurement.end("restart", pool)
     finally:
         await registry.close()
 
@@ -72,28 +74,28 @@
 async def _publish(
     pool: WorkerPool, registry: Registry, name: str, changed: list[EndpointRow]
 ) -> dict[str, float]:
-    """Publish a change; its figures, with this name before theirs."""
-    phase = _Phase(registry)
+    """Publish a change and return its figures; `name` is the prefix of their names."""
+    measurement = _UpdateMeasurement(registry)
     await pool.take_figures()
     registry.publish(changed)
-    return await phase.end(name, pool)
+    return await measurement.end(name, pool)
 
 
-class _Phase:
-    """What happens from now on until the present generation is in force everywhere."""
+class _UpdateMeasurement:
+    """Measurement from its creation until the current generation is in force at every gateway."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
         counts = registry.counts
-        self._before = counts.calls, counts.failures, counts.update_bytes()
+        self._counts_before = counts.calls, counts.failures, counts.update_bytes()
         self._cpu_ns, self._begun_ns = process_time_ns(), monotonic_ns()
 
     async def end(self, name: str, pool: WorkerPool) -> dict[str, float]:
-        """Wait until the generation is in force everywhere; the figures, with this name before theirs."""
+        """Wait until the generation is in force at every gateway; return figures with the prefix `name`."""
         counts = self._registry.counts
         delays_ns = np.asarray(await pool.in_force_ns(self._registry.generation)) - self._begun_ns
         registry_cpu_ns, workers = process_time_ns() - self._cpu_ns, await pool.take_figures()
-        calls, failures, update_bytes = self._before
+        calls, failures, update_bytes = self._counts_before
         return {
             f"{name}_p50_ms": float(np.percentile(delays_ns, 50)) / MS,
             f"{name}_p99_ms": float(np.percentile(delays_ns, 99)) / MS,
--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -1,12 +1,13 @@
-"""What changes of the endpoint list cost requests: open arrivals through one real gateway while it changes.
-
-A run has three parts: one without changes, against which the others are compared, one at the rate of changes
-of a quiet hour and one at that of a bad hour.  A part has four processes: this one with discovery and the
-changes, the gateway as the `run` of deploy/balancer.toml starts it, the endpoints and the clients.  The time
-that the gateway adds to a request is what the client measures from the due time, less what the endpoint
-reports; it contains the jitter of clients and endpoints (their timers tick in milliseconds) and of the
-network between, which the part without changes shows alone.  The endpoints go on listening after they have
-left the list, so that the figures contain what the changes cost and not what lost endpoints do.
+"""Experiment `latency`: latency that endpoint list changes add to requests through one real gateway.
+
+Requests arrive as an open workload.  A run has three phases: one without changes, which is the baseline, one
+at the rate of changes of a quiet hour and one at that of a bad hour.  A phase has four processes: this one
+with discovery and the changes, the gateway as the `run` of deploy/balancer.toml starts it, the endpoints and
+the clients.  The time that the gateway adds to a request is the time that the client measures from the due
+time, less the time that the endpoint reports; it includes the jitter of clients and endpoints (their timers
+have a resolution of milliseconds) and of the network, which the baseline shows alone.  Endpoints keep
+listening after their removal from the list, so that the figures contain only the cost of the changes and not
+that of lost endpoints.
 """
 
 from __future__ import annotations
@@ -31,43 +32,43 @@
 from ..registry import Registry
 from ..wait import wait_until
 
-__all__ = ["SIZES", "ChangeKind", "ListChange", "plan_changes", "run", "run_part", "summarize"]
+__all__ = ["SIZES", "ChangeKind", "ListChange", "plan_changes", "run", "run_phase", "summarize"]
 
 ZONES = 11
 MAX_LISTENERS = 256
-"""Addresses that the endpoints share, at most: each takes a descriptor."""
+"""Most addresses that the endpoints share, as each listener takes a file descriptor."""
 REFERENCE_SIZE = 7500
-"""The size of fleet for which the rates of changes are given; they grow with the size."""
+"""Fleet size for which the rates of changes are given; the rates are proportional to the size."""
 SIZES = (75, 750, 2_500, REFERENCE_SIZE)
 WATCH_TIMEOUT_S = 30.0
-"""Longest wait until the gateway watches."""
+"""Longest wait until the gateway has a watch open."""
 SECONDS_PER_DAY = 86_400
 LOAD_REPORT_COLUMNS = ("utilization", "outstanding")
 MIB = 2**20
 
 
 class ChangeKind(Enum):
-    """What changes in the endpoint list."""
+    """Kinds of changes of the endpoint list."""
 
     ROW = "row"
-    """The row of one endpoint."""
+    """Change of the row of one endpoint."""
     LOSE_ZONE = "lose"
     RESTORE_ZONE = "restore"
 
 
 class ListChange(NamedTuple):
-    """A change of the endpoint list, due so many seconds from the start."""
+    """Change of the endpoint list, due `due_s` seconds after the start."""
 
     due_s: float
     kind: ChangeKind
 
 
 def plan_changes(rows_per_s: float, size: int, seconds: float, zone_loss: bool = False) -> list[ListChange]:
-    """The changes of the list of `size` endpoints within so many seconds, in their order.
+    """Return the changes of a list of `size` endpoints within `seconds` seconds, ordered by due time.
 
-    `rows_per_s` is given for a fleet of REFERENCE_SIZE endpoints.  0 is no change at all, anything else one
-    replacement at least, which is two rows: a small fleet or a short run gets more changes than the rate
-    says.  With `zone_loss` a zone is gone for the middle third of the time.
+    `rows_per_s` is the rate for a fleet of REFERENCE_SIZE endpoints.  A rate of 0 gives no change; any other
+    rate gives at least one replacement, which is two rows, so a small fleet or a short run gets more changes
+    than the rate says.  With `zone_loss` a zone is lost for the middle third of the time.
     """
     if not rows_per_s:
         return []
@@ -81,8 +82,8 @@
     return sorted(plan, key=lambda change: change.due_s)
 
 
-async def _publish(plan: Sequence[ListChange], fleet: Fleet, registry: Registry) -> None:
-    """Publish these changes when they are due; the zone is the fleet's last one."""
+async def _publish_changes(plan: Sequence[ListChange], fleet: Fleet, registry: Registry) -> None:
+    """Publish the changes of the plan when they are due; the zone that is lost is the last of the fleet."""
     clock = asyncio.get_running_loop().time
     start_s = clock()
     zone = fleet.zones[-1]
@@ -94,20 +95,21 @@
                 pending.extend(fleet.replace(1))
             registry.publish([pending.popleft()])
             continue
-        while pending:  # otherwise a new endpoint of the zone might be published after the zone's loss
+        while pending:  # otherwise an endpoint of the zone might be published after its loss
             registry.publish([pending.popleft()])
         changed = fleet.lose_zone(zone) if kind is ChangeKind.LOSE_ZONE else fleet.restore_zone(zone)
         registry.publish(changed)
 
 
-async def run_part(
+async def run_phase(
     plan: Sequence[ListChange], size: int, seed: int, seconds: float, rate: float, mean_ms: float = 10.0
 ) -> tuple[list[Sample], dict[str, float]]:
-    """Send `rate` requests a second for `seconds` s, while the list changes after the plan.
+    """Send `rate` requests per second for `seconds` s while the list changes according to the plan.
 
-    `mean_ms` is the mean service time of the endpoints, in ms.  Returns the samples, and of gateway and
-    discovery: `cpu_s` of CPU time, `rss_mb` (MiB, at the end), `registry_bytes` and `list_changes` meanwhile.
-    Raises RuntimeError or TimeoutError if the gateway doesn't get ready or ends.
+    `mean_ms` is the mean service time of the endpoints in ms.  Returns the samples and the costs of the
+    phase: CPU time of the gateway (`cpu_s`), its memory at the end (`rss_mb`, MiB), bytes written by discovery
+    (`registry_bytes`) and changes of the list (`list_changes`).  Raises RuntimeError or TimeoutError if the
+    gateway ends or does not become ready.
     """
     columns = [argument for name in LOAD_REPORT_COLUMNS for argument in ("--column", name)]
     listeners = str(min(size, MAX_LISTENERS))
@@ -130,7 +132,7 @@
                     async with module_process("scale.load", *arguments) as load:
                         result = await _measure(gateway.statistics, load, plan, fleet, registry)
                     if gateway.returncode is not None:
-                        raise RuntimeError(f"the gateway has ended with {gateway.returncode}")
+                        raise RuntimeError(f"the gateway has ended with exit code {gateway.returncode}")
                 finally:
                     await gateway.end()
                 return result
@@ -141,7 +143,7 @@
 def _load_arguments(
     address: tuple[str, int], configuration: dict[str, Any], rate: float, seconds: float, seed: int
 ) -> list[str]:
-    """The arguments of `scale.load`: its requests are of the first class and the first tenant."""
+    """Return the arguments of `scale.load`; requests have the first request class and tenant."""
     settings = configuration["settings"]
     request_class, tenant = settings["request-classes"][0], settings["realms"][0]
     return [
@@ -162,18 +164,18 @@
     fleet: Fleet,
     registry: Registry,
 ) -> tuple[list[Sample], dict[str, float]]:
-    """The samples of a load that is about to begin, and what it cost the gateway meanwhile."""
+    """Return the samples of a load that is about to begin and what it cost the gateway and discovery."""
     assert load.stdout is not None
     await load.stdout.readline()
     counts = registry.counts
     bytes_before, generation_before = counts.bytes_written, registry.generation
-    cpu_before = gateway.cpu_times()
-    publishing = asyncio.create_task(_publish(plan, fleet, registry))
+    cpu_times_before = gateway.cpu_times()
+    publishing = asyncio.create_task(_publish_changes(plan, fleet, registry))
     samples = [Sample(*row) for row in await read_json_line(load)]
     await publishing
-    cpu = gateway.cpu_times()
+    cpu_times = gateway.cpu_times()
     return samples, {
-        "cpu_s": cpu.user + cpu.system - cpu_before.user - cpu_before.system,
+        "cpu_s": cpu_times.user + cpu_times.system - cpu_times_before.user - cpu_times_before.system,
         "rss_mb": gateway.memory_info().rss / MIB,
         "registry_bytes": counts.bytes_written - bytes_before,
         "list_changes": registry.generation - generation_before,
@@ -181,10 +183,10 @@
 
 
 def summarize(samples: Sequence[Sample]) -> dict[str, float]:
-    """Counts of requests, of those served and of those without a response, and times in ms.
+    """Return the number of requests, of served and of unanswered ones, and times in ms.
 
-    The percentiles and `worst_ms` are of the time added to the requests served; `hold_ms` is the longest
-    wait of a health check of the gateway, sent every 20 ms.
+    The percentiles and `worst_ms` refer to the time added to served requests; `hold_ms` is the longest time
+    added to a health check of the gateway, which is sent every 20 ms.
     """
     requests = [sample for sample in samples if not sample.is_health_check]
     served = [sample for sample in requests if sample.status == 200]
@@ -209,14 +211,15 @@
     quiet_per_day: float = 1700.0,
     bad_per_s: float = 10.0,
 ) -> dict[str, float]:
-    """Three parts of `seconds` s, one after another; their figures are named `none_`, `quiet_` and `bad_`.
+    """Run three phases of `seconds` s each; the names of their figures begin with `none_`, `quiet_`, `bad_`.
 
-    `quiet_per_day` is the mean of an ordinary day: so many endpoints replaced, two rows each.  `bad_per_s` is
-    the rate of rows in an hour in which a zone is lost and restored during a rolling replacement.  Both are
-    those of a fleet of REFERENCE_SIZE endpoints.  Raises ValueError for a figure that isn't above 0.
+    `quiet_per_day` is the number of endpoints replaced on an average day; each replacement is two rows.
+    `bad_per_s` is the rate of changed rows in an hour in which a zone is lost and restored during a rolling
+    replacement.  Both are rates of a fleet of REFERENCE_SIZE endpoints.  Raises ValueError unless all options
+    are above 0.
     """
     if min(seconds, rate, quiet_per_day, bad_per_s) <= 0:
-        raise ValueError("seconds, rate, quiet_per_day and bad_per_s are above 0")
+        raise ValueError("seconds, rate, quiet_per_day and bad_per_s must be above 0")
     plans = {
         "none": [],
         "quiet": plan_changes(2 * quiet_per_day / SECONDS_PER_DAY, size, seconds),
@@ -224,6 +227,6 @@
     }
     figures: dict[str, float] = {}
     for name, plan in plans.items():
-        samples, costs = await run_part(plan, size, seed, seconds, rate)
+        samples, costs = await run_phase(plan, size, seed, seconds, rate)
         figures |= {f"{name}_{key}": value for key, value in (summarize(samples) | costs).items()}
     return figures
--- a/scale/experiments/settings.py
+++ b/scale/experiments/settings.py
@@ -1,6 +1,6 @@
-"""What the settings cost one gateway, by the number of tenants, and what it takes to put a change in force.
+"""Experiment `settings`: cost of the settings for one gateway and of a reload, by the number of tenants.
 
-The settings name no routes: of what is in them only the tenants grow with the users.
+The settings have no routes; the tenants are their only part that grows with the number of users.
 """
 
 from __future__ import annotations
@@ -26,57 +26,64 @@
 
 SIZES = (500, 5_000, 15_000, 50_000)
 UNLIMITED = Capacity(calls_per_s=10_000.0, lines_per_call=1e9)
-"""No queue at discovery: it is not what is measured here."""
-IN_FORCE_TIMEOUT = 5 * SECOND
-"""A change has to be in force so soon."""
-QUIET_TIME = SECOND // 2
-"""How long health checks are measured before the signal."""
+"""Capacity at which discovery queues no calls, as queueing is not measured here."""
+IN_FORCE_TIMEOUT_NS = 5 * SECOND
+"""Longest time within which a change must be in force."""
+QUIET_TIME_NS = SECOND // 2
+"""How long health checks are measured before SIGHUP is sent."""
 TIMEOUT_S = 60.0
-"""Longest wait for a gateway's response, or for it to be ready or to watch."""
+"""Longest wait for a response of the gateway, for its readiness or for its watch."""
 POLL_INTERVAL_S = 0.005
-"""Between two requests that show whether something is in force."""
+"""Interval between two requests that poll whether a change is in force."""
 HEALTH_CHECK_INTERVAL_S = 0.002
 UNUSED_ADDRESS = "127.0.0.1:9"
-"""No endpoint listens there: requests are not served."""
+"""Address at which no endpoint listens, so that requests are not served."""
 KNOWN_TENANT, NEW_TENANT = "tenant-0", "tenant-new"
 MIB = 2**20
 
 
 async def run(size: int, seed: int, hosts: int = 75) -> dict[str, float]:
-    """`size` tenants and `hosts` endpoints; parsing in a process of its own, then one gateway.
-
-    A tenant is added to the gateway's file: a quota alone would show from outside only under congestion.
-    After SIGHUP has made it read the file, which shows as it moves to another discovery,
-    `sighup_in_force_share` is 1 if it comes to know that tenant within the 5 s that a change may take, and 0
-    if not; `sighup_in_force_s` is the time from the signal until it does.  `sighup_hold_ms` is the longest
-    response to health checks one after another from the signal until then, beside `quiet_hold_ms` of those
-    before it; `sighup_cpu_ms` is its CPU time from the signal on, checks included, and `sighup_rss_mb` the
-    growth of its memory, in MiB.  Then it is restarted: the time from the start of the program to its first
-    ready response, and until discovery has sent it the list.
+    """Measure parsing, a reload and a restart with `size` tenants and `hosts` endpoints.
+
+    Parsing is measured in a process of its own, the rest with one gateway.  A tenant is added to the
+    configuration file of the gateway, because a changed quota would be visible from outside only under
+    congestion.  The file also names another discovery, whose watch shows that the gateway has read the file
+    after SIGHUP.
+
+    `sighup_in_force_share` is 1 if the gateway accepts the new tenant within the 5 s that a change may take,
+    otherwise 0; `sighup_in_force_s` is the time from the signal until then.  `sighup_hold_ms` is the longest
+    response time of consecutive health checks in that time, `quiet_hold_ms` that of health checks before the
+    signal.  `sighup_cpu_ms` is the CPU time of the gateway from the signal on, health checks included, and
+    `sighup_rss_mb` the growth of its memory in MiB.  After a restart, the time is measured from the start of
+    the program to its first ready response, and until discovery has sent it the list.
     """
     fleet = Fleet(hosts, 3, seed, lambda _: UNUSED_ADDRESS)
-    first, second = [await Registry(fleet.rows.values(), UNLIMITED).start() for _ in range(2)]
+    first_registry, second_registry = [
+        await Registry(fleet.rows.values(), UNLIMITED).start() for _ in range(2)
+    ]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        configuration = make_configuration(fleet, 20, discovery=first.address, tenants=size, pushed=True)
+        configuration = make_configuration(
+            fleet, 20, discovery=first_registry.address, tenants=size, pushed=True
+        )
         path.write_text(json.dumps(configuration))
         gateway = GatewayProcess(MODULE_COMMAND, path)
         try:
             async with module_process("scale.parsing", str(path)) as parsing:
                 figures: dict[str, float] = await asyncio.wait_for(read_json_line(parsing), TIMEOUT_S)
             await gateway.start()
-            await wait_until(lambda: first.watch_count > 0, TIMEOUT_S)
-            if not await _knows_tenant(gateway, KNOWN_TENANT):
-                raise RuntimeError("a tenant of the settings is unknown")
+            await wait_until(lambda: first_registry.watch_count > 0, TIMEOUT_S)
+            if not await _accepts_tenant(gateway, KNOWN_TENANT):
+                raise RuntimeError("the gateway rejects a tenant that its settings contain")
             _add_tenant(configuration)
-            path.write_text(json.dumps({**configuration, "discovery": second.address}))
+            path.write_text(json.dumps({**configuration, "discovery": second_registry.address}))
             figures |= await _reload(gateway)
-            await wait_until(lambda: second.watch_count > 0, TIMEOUT_S)
-            return figures | await _restart(gateway, second)
+            await wait_until(lambda: second_registry.watch_count > 0, TIMEOUT_S)
+            return figures | await _restart(gateway, second_registry)
         finally:
             await gateway.end()
-            await first.close()
-            await second.close()
+            await first_registry.close()
+            await second_registry.close()
 
 
 def _add_tenant(configuration: dict[str, Any]) -> None:
@@ -84,21 +91,21 @@
 
 
 async def _reload(gateway: GatewayProcess) -> dict[str, float]:
-    """SIGHUP, and what it takes until the new tenant is known."""
+    """Send SIGHUP and return the cost until the gateway accepts the new tenant."""
     process = gateway.statistics
-    quiet_until_ns = monotonic_ns() + QUIET_TIME
-    quiet_ms = await _longest_health_check(gateway, lambda: monotonic_ns() >= quiet_until_ns)
-    rss_before, cpu_before_s = process.memory_info().rss, sum(process.cpu_times()[:2])
-    is_decided = asyncio.Event()
+    quiet_until_ns = monotonic_ns() + QUIET_TIME_NS
+    quiet_ms = await _longest_health_check_ms(gateway, lambda: monotonic_ns() >= quiet_until_ns)
+    rss_before_bytes, cpu_before_s = process.memory_info().rss, sum(process.cpu_times()[:2])
+    reload_done = asyncio.Event()
     begun_ns = monotonic_ns()
     gateway.signal(signal.SIGHUP)
-    checks = asyncio.create_task(_longest_health_check(gateway, is_decided.is_set))
+    checks = asyncio.create_task(_longest_health_check_ms(gateway, reload_done.is_set))
     in_force, elapsed_ns = False, 0
-    while not in_force and elapsed_ns < IN_FORCE_TIMEOUT:
-        in_force = await _knows_tenant(gateway, NEW_TENANT)
+    while not in_force and elapsed_ns < IN_FORCE_TIMEOUT_NS:
+        in_force = await _accepts_tenant(gateway, NEW_TENANT)
         elapsed_ns = monotonic_ns() - begun_ns
         await asyncio.sleep(POLL_INTERVAL_S)
-    is_decided.set()
+    reload_done.set()
     longest_ms = await checks
     return {
         "sighup_in_force_share": float(in_force),
@@ -106,17 +113,17 @@
         "sighup_hold_ms": longest_ms,
         "quiet_hold_ms": quiet_ms,
         "sighup_cpu_ms": 1000 * (sum(process.cpu_times()[:2]) - cpu_before_s),
-        "sighup_rss_mb": (process.memory_info().rss - rss_before) / MIB,
+        "sighup_rss_mb": (process.memory_info().rss - rss_before_bytes) / MIB,
     }
 
 
 async def _restart(gateway: GatewayProcess, registry: Registry) -> dict[str, float]:
-    """Kill and start it, and what it takes until it is ready and has the list."""
+    """Kill and restart the gateway; return the time until it is ready and until it has the endpoint list."""
     await gateway.end()
     begun_ns = monotonic_ns()
     await gateway.start()
     async with asyncio.timeout(TIMEOUT_S):
-        while await _status(gateway, "/health/ready") != 200:  # noqa: ASYNC110 - only a call shows it
+        while await _get_status(gateway, "/health/ready") != 200:  # noqa: ASYNC110 - only polling shows it
             await asyncio.sleep(POLL_INTERVAL_S)
     ready_ns = monotonic_ns() - begun_ns
     await wait_until(lambda: registry.watch_count > 0, TIMEOUT_S)
@@ -124,12 +131,12 @@
     return {
         "restart_ready_s": ready_ns / SECOND,
         "restart_told_s": listed_ns / SECOND,
-        "restart_in_force_share": float(await _knows_tenant(gateway, NEW_TENANT)),
+        "restart_in_force_share": float(await _accepts_tenant(gateway, NEW_TENANT)),
     }
 
 
-async def _status(gateway: GatewayProcess, path: str, headers: str = "") -> int:
-    """The status of the response to a GET on a connection of its own."""
+async def _get_status(gateway: GatewayProcess, path: str, headers: str = "") -> int:
+    """Return the status of the response to a GET request on a new connection."""
     reader, writer = await asyncio.open_connection(*gateway.address)
     try:
         writer.write(f"GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode())
@@ -138,17 +145,17 @@
         writer.close()
 
 
-async def _knows_tenant(gateway: GatewayProcess, tenant: str) -> bool:
-    """Whether the gateway accepts a request of this tenant as well formed."""
+async def _accepts_tenant(gateway: GatewayProcess, tenant: str) -> bool:
+    """Whether the gateway accepts a request of this tenant as valid (its status is not 400)."""
     headers = (
         f"X-Request-ID: r-{tenant}\r\nX-Priority-Class: read\r\n"
         f"X-Tenant-Id: {tenant}\r\nX-Timeout-Ms: 400\r\n"
     )
-    return await _status(gateway, "/read/x", headers) != 400
+    return await _get_status(gateway, "/read/x", headers) != 400
 
 
-async def _longest_health_check(gateway: GatewayProcess, is_over: Callable[[], bool]) -> float:
-    """The longest of the health checks on one connection until `is_over`, one at least, in ms."""
+async def _longest_health_check_ms(gateway: GatewayProcess, is_done: Callable[[], bool]) -> float:
+    """Send health checks on one connection until `is_done`, at least one; return the longest time in ms."""
     reader, writer = await asyncio.open_connection(*gateway.address)
     longest_ns = 0
     try:
@@ -158,7 +165,7 @@
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             await reader.readexactly(_content_length(head))
             longest_ns = max(longest_ns, monotonic_ns() - begun_ns)
-            if is_over():
+            if is_done():
                 return longest_ns / MS
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
     finally:
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from scale.experiments.latency import ChangeKind, plan_changes, run_part, summarize
+from scale.experiments.latency import ChangeKind, plan_changes, run_phase, summarize
 from scale.load import Sample, arrival_times, histogram
 from tests.support.loopback import run_coroutine
 
@@ -36,7 +36,7 @@
 def test_changes_of_the_list_lose_no_request() -> None:
     async def check() -> None:
         plan = plan_changes(10_000, 22, 1.0, zone_loss=True)
-        samples, costs = await run_part(plan, 22, 5, seconds=1.0, rate=86, mean_ms=1.0)
+        samples, costs = await run_phase(plan, 22, 5, seconds=1.0, rate=86, mean_ms=1.0)
         requests = [sample for sample in samples if not sample.is_health_check]
         assert (
             len(requests) == len(arrival_times(86, 1.0, 5)) == len({sample.request_id for sample in requests})
