--- a/scale/cold_start/gateway.py
+++ b/scale/cold_start/gateway.py
@@ -48,7 +48,7 @@
         self.start(seed)
 
     def start(self, seed: int) -> None:
-        """Start or restart the gateway; no state is kept from before a restart."""
+        """Start or restart the gateway; a restart discards all state."""
         self._attempts_sent: dict[int, int] = {}  # by ID of the open request
         self._in_flight: dict[
             tuple[int, int], tuple[EndpointId, int]
--- a/scale/cold_start/judge.py
+++ b/scale/cold_start/judge.py
@@ -22,7 +22,7 @@
     worst_window_share: float
     """Requests in the worst window relative to the allowed number; above 1 the endpoint was overloaded."""
     budget_used_share: float
-    """Requests during the run relative to the overload budget of the whole run."""
+    """Requests during the run relative to the overload budget of the run."""
     requests: int
     """Number of requests that the endpoint received."""
     served_share: float
--- a/scale/cold_start/scenario.py
+++ b/scale/cold_start/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the cold-start simulation: fleet sizes and the conditions combined with them."""
+"""Scenarios of the slow-start simulation: fleet sizes and the conditions combined with them."""
 
 from __future__ import annotations
 
--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -107,9 +107,9 @@
     """Send `rate` requests per second for `seconds` s while the list changes according to the plan.
 
     `mean_ms` is the mean service time of the endpoints in ms.  Returns the samples and the costs of the
-    phase: CPU time of the gateway (`cpu_s`), its memory at the end (`rss_mb`, MiB), bytes written by discovery
-    (`registry_bytes`) and changes of the list (`list_changes`).  Raises RuntimeError or TimeoutError if the
-    gateway ends or does not become ready.
+    phase: CPU time of the gateway (`cpu_s`), its memory at the end (`rss_mb`, MiB), bytes written by
+    discovery (`registry_bytes`) and changes of the list (`list_changes`).  Raises RuntimeError or
+    TimeoutError if the gateway ends or does not become ready.
     """
     columns = [argument for name in LOAD_REPORT_COLUMNS for argument in ("--column", name)]
     listeners = str(min(size, MAX_LISTENERS))
--- a/tests/scale/__init__.py
+++ b/tests/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the scale measurements."""
+"""Tests of the scale experiments and their tools."""
--- a/tests/scale/test_cold_start.py
+++ b/tests/scale/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Cold-start simulation: the joint load of many gateways on endpoints in slow start."""
+"""Slow-start simulation: the joint load of many gateways on endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @pytest.mark.parametrize(("gateways", "endpoints"), [(2, 8), (8, 6), (20, 6), (30, 6), (200, 20)])
 def test_gateways_that_start_together_with_all_endpoints_send_requests(gateways: int, endpoints: int) -> None:
-    """Guards against gateways that never send to endpoints in slow start.
+    """Gateways must send before the first response.
 
-    A gateway without any response knew no rate, so it sent nothing until the slow start ended after 23 s.
+    Without a response a gateway knew no rate, so it sent nothing until the slow start ended after 23 s.
     """
     scenario = Scenario(
         gateways, endpoints, gateways_start=True, restarted=True, starting_share=1.0, seconds=8
--- a/tests/scale/test_command.py
+++ b/tests/scale/test_command.py
@@ -1,4 +1,4 @@
-"""The command `python -m scale`: its arguments, its records and its exit codes."""
+"""Command `python -m scale`: arguments, records and exit codes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         ["hosts", "--limit-s", "0"],
     ],
 )
-def test_bad_input_is_one_plain_line_and_status_2(
+def test_invalid_arguments_print_one_line_and_exit_2(
     arguments: list[str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run_command(monkeypatch, *arguments) == 2
@@ -44,7 +44,7 @@
     assert err.startswith("scale: ")
 
 
-def test_a_run_that_fails_or_takes_too_long_is_recorded_and_the_others_go_on(
+def test_failed_and_timed_out_runs_are_recorded_and_later_runs_continue(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def run(size: int, seed: int) -> dict[str, float]:
@@ -67,7 +67,7 @@
     "arguments",
     [["latency", "--size", "0"], ["latency", "--set", "unknown=1"], ["latency", "--set", "rate=much"]],
 )
-def test_bad_options_of_the_latency_experiment_exit_2(
+def test_invalid_options_of_the_latency_experiment_exit_2(
     arguments: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("sys.argv", ["scale", *arguments])
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo that the README names shows a served request, and leaves nothing running."""
+"""Demo of the README: it shows a served request and leaves no process running."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from scale import ROOT, demo
 
 LIMIT_S = 20
-"""Longest time that the demo may take, seconds."""
+"""Longest time in seconds that the demo may take."""
 
 
-def test_a_request_is_served_and_shown() -> None:
+def test_demo_shows_a_served_request_and_stops_the_gateway() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "scale.demo"],
         cwd=ROOT,
@@ -36,7 +36,7 @@
         os.kill(int(process.group(1)), 0)
 
 
-def test_a_gateway_that_ends_at_once_is_reported_in_one_line(
+def test_gateway_that_exits_at_start_is_reported_in_one_line(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(demo, "deployed_command", lambda: ("/bin/sh", "-c", "echo no such module >&2"))
@@ -44,7 +44,7 @@
     assert capsys.readouterr().err == "demo: the gateway has ended: no such module\n"
 
 
-def test_a_gateway_that_never_listens_is_given_up(
+def test_gateway_that_never_listens_times_out(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(demo, "deployed_command", lambda: ("sleep", "60"))
--- a/tests/scale/test_experiments.py
+++ b/tests/scale/test_experiments.py
@@ -1,4 +1,4 @@
-"""The experiments at small sizes: counts, bytes, ratios."""
+"""Experiments at small sizes: counts, bytes and ratios of the figures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from scale.experiments import endpoints, gateways, settings
 
 
-async def test_bytes_grow_with_the_endpoints_for_a_snapshot_and_a_zone_and_not_for_one_change() -> None:
+async def test_bytes_of_a_snapshot_and_a_zone_loss_grow_with_the_endpoints_but_not_of_one_change() -> None:
     small, large = [await endpoints.run(size, 1, changes=2) for size in (30, 300)]
     assert 9 < large["list_bytes"] / small["list_bytes"] < 11
     assert 9 < large["zone_bytes"] / small["zone_bytes"] < 11
@@ -16,7 +16,7 @@
         assert large[name] > 0, name
 
 
-async def test_headless_gateways_get_a_change_a_zones_loss_and_all_after_a_restart() -> None:
+async def test_headless_gateways_apply_a_change_a_zone_loss_and_the_list_after_a_restart() -> None:
     figures = await gateways.run(9, 1, hosts=12, ask_within_s=0.4)
     for name in ("change", "zone"):
         assert (figures[f"{name}_calls"], figures[f"{name}_failed_calls"]) == (0, 0)
@@ -24,11 +24,12 @@
         assert figures[f"{name}_p99_ms"] <= 1000 * figures[f"{name}_last_s"]
     assert (figures["restart_calls"], figures["restart_failed_calls"]) == (9, 0)
     assert figures["zone_bytes"] > 3 * figures["change_bytes"] > 0
-    with pytest.raises(ValueError, match="are more than"):  # more memory than a machine is expected to have
+    # 720 * 7,500 states of endpoints are the most that the memory of one machine is expected to hold.
+    with pytest.raises(ValueError, match="are more than"):
         await gateways.run(721, 1, hosts=7_500)
 
 
-async def test_a_change_of_the_settings_is_in_force_after_sighup_and_after_a_restart() -> None:
+async def test_settings_change_is_in_force_after_sighup_and_after_a_restart() -> None:
     figures = await settings.run(20, 1)
     assert figures["restart_in_force_share"] == figures["sighup_in_force_share"] == 1.0
     assert figures["sighup_hold_ms"] > 0
--- a/tests/scale/test_fleet.py
+++ b/tests/scale/test_fleet.py
@@ -1,4 +1,4 @@
-"""The synthetic fleet: its rows, their changes, and the configuration that goes with them."""
+"""Synthetic fleet: endpoint rows, their changes and the matching gateway configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .fleets import START_MS, make_fleet
 
 
-def test_a_seed_gives_the_same_fleet_and_the_same_changes() -> None:
+def test_fleet_and_changes_depend_only_on_the_seed() -> None:
     def history(seed: int) -> list[Any]:
         fleet = make_fleet(seed=seed)
         lists = [list(fleet.rows.values())]
@@ -25,7 +25,7 @@
     assert history(3) == history(3) != history(4)
 
 
-def test_changes_are_in_the_form_of_discovery() -> None:
+def test_changes_have_the_format_of_discovery() -> None:
     fleet = make_fleet()
     rows = dict(fleet.rows)
     assert [row["lifecycle"] for row in fleet.drain(2)] == ["terminating"] * 2
@@ -43,7 +43,7 @@
     assert {row["lifecycle"] for row in rows.values()} == {"in_service"}
 
 
-def test_the_gateway_reads_the_configuration_and_every_row(tmp_path: Path) -> None:
+def test_gateway_parses_the_configuration_and_every_row(tmp_path: Path) -> None:
     fleet = make_fleet()
     path = tmp_path / "config.json"
     path.write_text(
--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator and the stand-in of endpoints."""
+"""Load generator and endpoint stub."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.loopback import OK, run_coroutine
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -26,7 +26,7 @@
     return address
 
 
-def test_arrivals_depend_on_the_seed_alone_and_have_their_rate() -> None:
+def test_arrival_times_depend_only_on_the_seed_and_match_the_rate() -> None:
     times = arrival_times(86, 100, 7)
     assert times == arrival_times(86, 100, 7) != arrival_times(86, 100, 8)
     assert times == sorted(times)
@@ -34,14 +34,14 @@
     assert max(times) < 100
 
 
-def test_requests_are_sent_when_due_whatever_is_without_a_response() -> None:
+def test_requests_are_sent_when_due_regardless_of_pending_responses() -> None:
     async def check() -> None:
         received: list[asyncio.StreamWriter] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             received.append(writer)
-            if len(received) == 20:  # a generator that waits for responses never gets here
+            if len(received) == 20:  # not reached by a generator that waits for responses
                 for other in received:
                     other.write(OK)
 
@@ -55,7 +55,7 @@
     run_coroutine(check)
 
 
-def test_a_request_on_a_connection_that_was_just_closed_is_sent_again_on_a_new_one() -> None:
+def test_request_on_a_just_closed_connection_is_sent_again_on_a_new_one() -> None:
     async def check() -> None:
         heads: list[bytes] = []
 
@@ -72,11 +72,11 @@
     run_coroutine(check)
 
 
-def test_each_request_gets_one_response_with_the_endpoints_own_time() -> None:
+def test_each_request_gets_one_response_with_the_endpoint_time() -> None:
     async def check() -> None:
         backend = Backend(3, 0.005)
         [address] = await backend.start(1)
-        samples = await LoadGenerator(address_of(address), "read", "t", 15_000).run(
+        samples = await LoadGenerator(parse_address(address), "read", "t", 15_000).run(
             arrival_times(200, 0.5, 3)
         )
         assert (
@@ -93,13 +93,13 @@
     run_coroutine(check)
 
 
-def test_responses_of_endpoints_are_in_the_form_of_the_protocol() -> None:
+def test_endpoint_responses_have_the_format_of_the_protocol() -> None:
     async def check() -> None:
         backend = Backend(3, 0.001, ("utilization", "outstanding"))
         [address] = await backend.start(1)
 
         async def send(text: bytes) -> bytes:
-            reader, writer = await asyncio.open_connection(*address_of(address))
+            reader, writer = await asyncio.open_connection(*parse_address(address))
             writer.write(text)
             head = await reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().partition(b"content-length: ")[2].split()[0])
@@ -121,9 +121,9 @@
         Backend(3, 0.001, ("mood",))
 
 
-def test_bad_arguments_of_load_and_backend_exit_2() -> None:
-    good = ["--class", "read", "--tenant", "t"]
-    for arguments in (["nowhere", *good], ["127.0.0.1:1"], ["127.0.0.1:1", *good, "--rate", "0"]):
+def test_invalid_arguments_of_load_and_backend_exit_2() -> None:
+    valid = ["--class", "read", "--tenant", "t"]
+    for arguments in (["nowhere", *valid], ["127.0.0.1:1"], ["127.0.0.1:1", *valid, "--rate", "0"]):
         assert CliRunner().invoke(load_main, arguments).exit_code == 2
     for arguments in (["0"], ["1", "--column", "mood"], ["1", "--mean-ms", "0"]):
         assert CliRunner().invoke(backend_main, arguments).exit_code == 2
--- a/tests/scale/test_records.py
+++ b/tests/scale/test_records.py
@@ -1,4 +1,4 @@
-"""Records of runs, their table and their fits."""
+"""Run records, their table and their linear fits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from scale.records import append, fit, format_fits, format_table
 
 
-def test_a_fit_has_a_slope_and_its_spread_and_marks_what_is_extrapolated() -> None:
+def test_fit_has_slope_and_standard_error_and_marks_extrapolated_figures() -> None:
     exact = fit([1, 2, 3, 3], [5, 7, 9, 9])
     assert [exact.slope, exact.intercept, exact.slope_spread] == pytest.approx([2.0, 3.0, 0.0], abs=1e-9)
     assert [exact.at(3).value, exact.at(30).value] == pytest.approx([9.0, 63.0])
@@ -22,7 +22,7 @@
             fit(sizes, [1.0] * len(sizes))
 
 
-def test_a_run_is_one_line_and_a_failed_one_has_no_figures(tmp_path: Path) -> None:
+def test_each_run_is_one_line_and_a_failed_run_has_no_figures(tmp_path: Path) -> None:
     out = tmp_path / "r"
     records = [append(out, "x", size, 1, 0, ["x"], {"cost_ms": 2.0 * size}) for size in (1, 2, 4)]
     records.append(append(out, "x", 8, 1, 0, ["x"], {}, "OSError: no"))
--- a/tests/scale/test_update_cost.py
+++ b/tests/scale/test_update_cost.py
@@ -1,4 +1,4 @@
-"""What the endpoint list costs a gateway, in lines of Python executed: how that grows with the fleet."""
+"""Cost of endpoint list updates in executed lines of Python, and its growth with the fleet size."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def count_lines(call: Callable[[], object]) -> int:
-    """Lines of Python that a call executes: the same each time, whatever the machine does.
+    """Return how many lines of Python a call executes; the number does not depend on the load of the machine.
 
-    The garbage collector waits meanwhile: it would run the finalizers of what earlier tests left behind, and
-    their lines would count.
+    The garbage collector is disabled during the call, because it would run finalizers of objects left by
+    earlier tests, whose lines would be counted.
     """
     count = 0
 
@@ -42,8 +42,8 @@
     return count
 
 
-class Costs:
-    """The lines executed for a snapshot and for one change, by one gateway of one for each ten endpoints."""
+class UpdateCosts:
+    """Lines executed by a gateway for a snapshot and for one change, with one gateway per ten endpoints."""
 
     def __init__(self, count: int) -> None:
         fleet = Fleet(count, 3, 1)
@@ -69,25 +69,25 @@
         return self._parser.parse({"generation": 1, "reset": True, "instances": rows}, 0)[2]
 
 
-def test_a_snapshot_costs_no_more_for_each_endpoint_of_a_larger_fleet() -> None:
-    small, large = Costs(200), Costs(2000)
+def test_snapshot_cost_per_endpoint_does_not_grow_with_the_fleet() -> None:
+    small, large = UpdateCosts(200), UpdateCosts(2000)
     for part in ("snapshot_parser", "snapshot_upstream", "snapshot_balancer"):
         assert getattr(large, part) <= 11 * getattr(small, part), part
 
 
-def test_one_change_costs_parser_and_upstream_the_same_in_a_larger_fleet() -> None:
-    small, large = Costs(200), Costs(2000)
+def test_cost_of_one_change_in_parser_and_upstream_does_not_depend_on_the_fleet_size() -> None:
+    small, large = UpdateCosts(200), UpdateCosts(2000)
     assert (large.change_parser, large.change_upstream) == (small.change_parser, small.change_upstream)
 
 
-def test_one_change_costs_the_balancer_the_same_in_a_larger_fleet() -> None:
-    """It ran 1,864 lines at 200 endpoints and 18,004 at 2,000 when it built all its lists for each change."""
-    small, large = Costs(200), Costs(2000)
+def test_cost_of_one_change_in_the_balancer_does_not_grow_with_the_fleet() -> None:
+    """Rebuilding all lists for each change took 1,864 lines at 200 endpoints and 18,004 at 2,000."""
+    small, large = UpdateCosts(200), UpdateCosts(2000)
     assert large.change_balancer < 2 * small.change_balancer
 
 
-class _Finalized:
-    """Garbage in a cycle, whose finalizer runs lines of Python."""
+class _CyclicGarbage:
+    """Object in a reference cycle with a finalizer that executes many lines of Python."""
 
     def __init__(self) -> None:
         self.cycle = self
@@ -101,5 +101,5 @@
     threshold = gc.get_threshold()[0]
     gc.collect()
     for _ in range(10):
-        _Finalized()
+        _CyclicGarbage()
     assert count_lines(lambda: list(map(list, [()] * 10 * threshold))) < 100
