--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -47,7 +47,7 @@
         self._load_shedder = load_shedder
         self._random = random
 
-    def for_original(self, request: Request, now: int) -> Endpoint | None:
+    def select_for_first_attempt(self, request: Request, now: int) -> Endpoint | None:
         """Selects an endpoint for a first attempt; None if no pool has one with free capacity."""
         local, remote = self._endpoints.local_pool, self._endpoints.remote_pool
         for pool in (remote, local) if self.should_spill_over(now) else (local, remote):
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -74,7 +74,7 @@
             self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
             return
         # Queued requests come first: a new one is not sent while others wait.
-        endpoint = None if len(self._wait_queue) else self._selector.for_original(request, now)
+        endpoint = None if len(self._wait_queue) else self._selector.select_for_first_attempt(request, now)
         if endpoint is not None:
             self._send(request, endpoint, now)
         elif request.is_over_quota:
@@ -89,7 +89,7 @@
                 self._wait_queue.discard(request)
                 self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
                 continue
-            endpoint = self._selector.for_original(request, now)
+            endpoint = self._selector.select_for_first_attempt(request, now)
             if endpoint is None:
                 return
             self._wait_queue.discard(request)
