--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -39,7 +39,7 @@
         share = (self.missed_share - SHEDDING_START_SHARE) / (FULL_SHEDDING_SHARE - SHEDDING_START_SHARE)
         return min(max(share, 0.0), 1.0)
 
-    def is_hopeless(self, request: Request, now: int) -> bool:
+    def should_shed(self, request: Request, now: int) -> bool:
         """Decides whether to shed a request whose remaining time is shorter than even a fast response takes.
 
         Its work would be wasted and would delay other requests. A fast response is one deviation below the
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -70,7 +70,7 @@
         self.dispatch_queued(now)
         # Ensures a response before the deadline even if no other event ends the request.
         self._timers.set(request, request.deadline - now - self._settings.tick_ns)
-        if self._load_shedder.is_hopeless(request, now):
+        if self._load_shedder.should_shed(request, now):
             self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
             return
         # Queued requests come first: a new one is not sent while others wait.
@@ -85,7 +85,7 @@
     def dispatch_queued(self, now: int) -> None:
         """Send queued requests while there is capacity."""
         while (request := self._wait_queue.peek()) is not None:
-            if self._load_shedder.is_hopeless(request, now):
+            if self._load_shedder.should_shed(request, now):
                 self._wait_queue.discard(request)
                 self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
                 continue
