--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -162,7 +162,7 @@
     def _apply_endpoint_list(self, now: int) -> None:
         """Adjust limits and attempts to the indexed endpoints, and send queued requests."""
         for pool in self.endpoints.pools():
-            self.limit.follow_endpoint_list(pool, now)
+            self.limit.rescale(pool, now)
         self.lifecycle.release_unavailable()
         self.lifecycle.dispatch_queued(now)
 
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -75,7 +75,7 @@
         floor = MIN_LIMIT if was_rejected else min(pool.limit, self._fair_share_floor())
         pool.limit = max(floor, pool.limit + step)
 
-    def follow_endpoint_list(self, pool: EndpointPool, now: int) -> None:
+    def rescale(self, pool: EndpointPool, now: int) -> None:
         """Scales the limit to the endpoints that the pool has now.
 
         Without it, a few remaining endpoints with the limit of many would be overloaded before the delay
