--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -55,7 +55,7 @@
         if outcome is Outcome.OK:
             self._throughput.count_response(now)
             self._record_success(request, endpoint, result, now)
-            baseline_latency = request.traffic_class.usual * (request.cost_hint or 1)
+            baseline_latency = request.traffic_class.baseline * (request.cost_hint or 1)
             self._throughput.record_baseline_latency(baseline_latency)
         elif counts_as_failure(outcome, endpoint) and not attempt.is_overdue:
             self._record_failure(request, endpoint, outcome, result.elapsed_ns, now)
@@ -70,7 +70,7 @@
         traffic_class = request.traffic_class
         units = request.cost_hint or 1
         sample = result.elapsed_ns / units
-        is_congested = sample > traffic_class.usual and self._is_slowdown_expected(endpoint, now)
+        is_congested = sample > traffic_class.baseline and self._is_slowdown_expected(endpoint, now)
         traffic_class.record_latency(sample, units, endpoint.in_flight, is_congested)
         ratio = min(sample / traffic_class.mean, MAX_LATENCY_RATIO)
         endpoint.relative_latency += ENDPOINT_SMOOTHING_WEIGHT * (ratio - endpoint.relative_latency)
@@ -116,7 +116,7 @@
         """Returns how much longer a response took than the baseline, in ns."""
         units = request.cost_hint or 1
         sample = elapsed_ns / units
-        baseline = request.traffic_class.usual
+        baseline = request.traffic_class.baseline
         delay = (sample - baseline) * units
         if delay > 0 and endpoint.slow_start_until > now:
             # Latency that the minimum capacity in slow start explains does not count as queueing.
--- a/balancer/traffic_class.py
+++ b/balancer/traffic_class.py
@@ -24,6 +24,7 @@
     """
 
     __slots__ = (
+        "baseline",
         "baseline_units",
         "deduplication_scope",
         "deduplication_window_ns",
@@ -37,7 +38,6 @@
         "mean_units",
         "objective_cost_factor",
         "priority_weight",
-        "usual",
     )
 
     def __init__(self, settings: RequestClass) -> None:
@@ -52,7 +52,7 @@
         self.mean = 0.0
         self.deviation = 0.0
         """Mean absolute deviation from the mean."""
-        self.usual = 0.0
+        self.baseline = 0.0
         """Baseline latency: a long-term mean to which responses slowed by congestion add little."""
         self.mean_units = 0.0
         """Cost units in the mean, with exponential decay."""
@@ -61,7 +61,7 @@
 
     def learn_from(self, other: TrafficClass) -> None:
         """Copies the latency statistics of the same class under other settings."""
-        self.mean, self.deviation, self.usual = other.mean, other.deviation, other.usual
+        self.mean, self.deviation, self.baseline = other.mean, other.deviation, other.baseline
         self.mean_units, self.baseline_units = other.mean_units, other.baseline_units
         self.last_sent_at = other.last_sent_at
 
@@ -77,7 +77,7 @@
         self.mean_units += units - LATENCY_WEIGHT * self.mean_units
         self.baseline_units += units - BASELINE_WEIGHT * self.baseline_units
         if not self.mean:
-            self.mean, self.deviation, self.usual = sample, sample / 2, sample
+            self.mean, self.deviation, self.baseline = sample, sample / 2, sample
             return
         error = sample - self.mean
         weight = units / self.mean_units
@@ -86,4 +86,4 @@
         weight = units / self.baseline_units / (1 + other_in_flight)
         if is_congested:
             weight *= CONGESTED_WEIGHT_SHARE
-        self.usual += weight * (sample - self.usual)
+        self.baseline += weight * (sample - self.baseline)
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -35,4 +35,4 @@
         gateway.run_for(50 * MS)
         for request_id in request_ids:
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=50 * MS)
-    assert gateway.balancer.classes[0].usual < 40 * MS
+    assert gateway.balancer.classes[0].baseline < 40 * MS
