--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -123,7 +123,7 @@
                 raise ValueError(f"the idempotency of class {item.name!r} can't change")
             traffic_class = TrafficClass(item)
             if old_class is not None:
-                traffic_class.learn_from(old_class)
+                traffic_class.copy_statistics_from(old_class)
             classes.append(traffic_class)
         return classes
 
--- a/balancer/traffic_class.py
+++ b/balancer/traffic_class.py
@@ -59,7 +59,7 @@
         self.baseline_units = 0.0
         self.last_sent_at = 0
 
-    def learn_from(self, other: TrafficClass) -> None:
+    def copy_statistics_from(self, other: TrafficClass) -> None:
         """Copies the latency statistics of the same class under other settings."""
         self.mean, self.deviation, self.baseline = other.mean, other.deviation, other.baseline
         self.mean_units, self.baseline_units = other.mean_units, other.baseline_units
