--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -89,9 +89,9 @@
                 MIN_LIMIT, INITIAL_LIMIT_PER_ENDPOINT * max(fair_share, min(2 * fair_share, 1.0))
             )
         size = sum(self._slow_start.current_capacity_share(endpoint, now) for endpoint in pool.endpoints)
-        if size and pool.warm_size:
-            pool.limit = max(MIN_LIMIT, pool.limit * size / pool.warm_size)
-        pool.warm_size = size or pool.warm_size
+        if size and pool.effective_size:
+            pool.limit = max(MIN_LIMIT, pool.limit * size / pool.effective_size)
+        pool.effective_size = size or pool.effective_size
 
     def _usage_and_limit(self, pool: EndpointPool, t1: int, now: int) -> tuple[int, float]:
         """Returns the attempts in flight at endpoints that are not ejected, and the limit for these.
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -91,12 +91,12 @@
     The delay estimate is in units of `PAPER_T1`.
     """
 
-    __slots__ = ("endpoints", "in_flight", "limit", "warm_size")
+    __slots__ = ("effective_size", "endpoints", "in_flight", "limit")
 
     def __init__(self) -> None:
         super().__init__()
         self.endpoints: list[Endpoint] = []
-        self.warm_size = 0.0
+        self.effective_size = 0.0
         """Endpoints for which the limit is sized; one in slow start counts with its capacity share."""
         self.in_flight = 0
         """Attempts in flight that count against the limit; those at endpoints not ready are left out."""
