--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import Endpoint, EndpointPool
 from .endpoint_index import EndpointIndex
 from .load_shedding import TARGET_DELAY_T1
@@ -62,7 +62,8 @@
             adjustment = -MAX_DECREASE_STEPS * _rejection_share(pool)
         else:
             adjustment = max(
-                -MAX_DECREASE_STEPS, 1.0 - pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+                -MAX_DECREASE_STEPS,
+                1.0 - pool.current_delay(REFERENCE_T1_NS, now) / (TARGET_DELAY_T1 * REFERENCE_T1_NS),
             )
         used, limit = self._usage_and_limit(pool, t1, now)
         if adjustment >= 0 and used + 1 < MIN_USED_SHARE * limit:
--- a/balancer/delay_estimate.py
+++ b/balancer/delay_estimate.py
@@ -12,9 +12,9 @@
 
 from .units import SECOND
 
-__all__ = ["PAPER_T1", "Q_MIN", "DelayEstimate"]
+__all__ = ["Q_MIN", "REFERENCE_T1_NS", "DelayEstimate"]
 
-PAPER_T1 = SECOND // 2
+REFERENCE_T1_NS = SECOND // 2
 """The paper's T1 in ns: the unit of a pool's delay, and the minimum T1 used in the decay of a delay."""
 Q_MIN = 0.2
 """Delay, in T1, below which every retry passes (the paper's q_min)."""
@@ -65,7 +65,7 @@
             return 0.0
         # The decay takes at least the paper's T1. With a shorter one, requests would consider an endpoint
         # recovered that still fails for others.
-        t1 = max(t1, PAPER_T1)
+        t1 = max(t1, REFERENCE_T1_NS)
         doublings = min(self.failure_streak, MAX_HOLD_DOUBLINGS)
         decaying_ns = now - self.updated_at - HOLD_TIME_T1 * t1 * (1 << doublings)
         return (
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -88,7 +88,7 @@
 class EndpointPool(DelayEstimate):
     """The endpoints of the own zone, or of the other zones, from which this gateway selects.
 
-    The delay estimate is in units of `PAPER_T1`.
+    The delay estimate is in units of `REFERENCE_T1_NS`.
     """
 
     __slots__ = ("effective_size", "endpoints", "in_flight", "limit")
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from .concurrency_limit import ConcurrencyLimit
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import Endpoint
 from .endpoint_index import EndpointIndex
 from .load_shedding import LoadShedder
@@ -93,9 +93,9 @@
         The condition in the settings, a delay of T1 at every candidate, would apply too late: with few
         responses per endpoint, no single estimate reaches T1 until long after the zone is overloaded.
         """
-        local = self._endpoints.local_pool.current_delay(PAPER_T1, now)
-        remote = self._endpoints.remote_pool.current_delay(PAPER_T1, now)
-        threshold = (MIN_SPILLOVER_EXCESS_T1 + self._random() * SPILLOVER_RANGE_T1) * PAPER_T1
+        local = self._endpoints.local_pool.current_delay(REFERENCE_T1_NS, now)
+        remote = self._endpoints.remote_pool.current_delay(REFERENCE_T1_NS, now)
+        threshold = (MIN_SPILLOVER_EXCESS_T1 + self._random() * SPILLOVER_RANGE_T1) * REFERENCE_T1_NS
         return threshold < local - max(0.0, remote)
 
     def _draw_pair(self, candidates: Sequence[Endpoint]) -> tuple[Endpoint, Endpoint]:
--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .concurrency_limit import ConcurrencyLimit
-from .delay_estimate import PAPER_T1, Q_MIN
+from .delay_estimate import Q_MIN, REFERENCE_T1_NS
 from .endpoint import Endpoint
 from .endpoint_index import EndpointIndex
 from .interface import AttemptResult
@@ -94,7 +94,7 @@
         """Whether slow start or congestion explains a slow response, which must not set the baseline."""
         if endpoint.slow_start_until > now:
             return True
-        return self._endpoints.pool_of(endpoint).current_delay(PAPER_T1, now) > Q_MIN * PAPER_T1
+        return self._endpoints.pool_of(endpoint).current_delay(REFERENCE_T1_NS, now) > Q_MIN * REFERENCE_T1_NS
 
     def _queueing_delay(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> float:
         """Returns the queueing delay that a response indicates, in ns.
@@ -138,8 +138,8 @@
         )
         endpoint.observe(delay, t1, now, failed_attempt_sent_at)
         pool = self._endpoints.pool_of(endpoint)
-        pool_delay = max(-MAX_POOL_DELAY_T1, min(delay / t1, MAX_POOL_DELAY_T1)) * PAPER_T1
-        pool.observe(pool_delay, PAPER_T1, now, failed_attempt_sent_at)
+        pool_delay = max(-MAX_POOL_DELAY_T1, min(delay / t1, MAX_POOL_DELAY_T1)) * REFERENCE_T1_NS
+        pool.observe(pool_delay, REFERENCE_T1_NS, now, failed_attempt_sent_at)
         self._limit.adapt(pool, endpoint, was_rejected, t1, now)
 
 
--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import EndpointPool
 from .request import Request
 from .traffic_class import LATENCY_WEIGHT
@@ -60,5 +60,5 @@
 
         It falls with the delay of the pool, and as requests within quota miss their objective.
         """
-        congestion = pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+        congestion = pool.current_delay(REFERENCE_T1_NS, now) / (TARGET_DELAY_T1 * REFERENCE_T1_NS)
         return min(1.0 - self.shed_probability(), 1.0 - congestion)
