--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -85,7 +85,7 @@
         starting together would overload the fleet with one request each.
         """
         if pool.endpoints and not pool.limit:
-            fair_share = self._endpoints.per_gateway
+            fair_share = self._endpoints.endpoints_per_gateway
             pool.limit = max(
                 MIN_LIMIT, INITIAL_LIMIT_PER_ENDPOINT * max(fair_share, min(2 * fair_share, 1.0))
             )
@@ -115,7 +115,7 @@
         return used, pool.limit * (size - ejected_size) / (size or 1.0)
 
     def _fair_share_floor(self) -> float:
-        return max(MIN_LIMIT, MIN_FAIR_SHARE * self._endpoints.per_gateway)
+        return max(MIN_LIMIT, MIN_FAIR_SHARE * self._endpoints.endpoints_per_gateway)
 
     def _should_grow_fast(self, pool: EndpointPool, endpoint: Endpoint, adjustment: float) -> bool:
         """Whether requests wait while endpoints other than the one that just responded are idle.
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -43,7 +43,7 @@
         self.ready_by_cell: dict[int, list[Endpoint]] = {}
         self.local_pool = EndpointPool()
         self.remote_pool = EndpointPool()
-        self.per_gateway = 1.0
+        self.endpoints_per_gateway = 1.0
         """Number of ready endpoints per gateway."""
 
     def apply_settings(self, settings: Settings) -> None:
@@ -84,7 +84,7 @@
         else:
             self._rebuild()
         local = self.ready_by_zone[self._zone]
-        self.per_gateway = (len(local) + len(self.ready_remote)) / self._replicas
+        self.endpoints_per_gateway = (len(local) + len(self.ready_remote)) / self._replicas
         self.local_pool.endpoints = self._subset(local)
         self.remote_pool.endpoints = self._subset(self.ready_remote)
 
@@ -128,7 +128,7 @@
 
         With fewer endpoints, its own attempts in flight say more about the load of each.
         """
-        size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.per_gateway))
+        size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.endpoints_per_gateway))
         if size >= len(endpoints):
             return list(endpoints)
         start = int((self._instance_number * GOLDEN_RATIO) % 1.0 * len(endpoints))
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -92,7 +92,7 @@
         ready_count = max(1, len(self._endpoints.ready_by_zone[endpoint.zone]))
         pool_size = len(self._endpoints.pool_of(endpoint).endpoints)
         gateway_count = max(1.0, self._replicas * pool_size / ready_count)
-        rate = self._throughput.rate_per_endpoint(self._endpoints.per_gateway)
+        rate = self._throughput.rate_per_endpoint(self._endpoints.endpoints_per_gateway)
         # The load report covers the load from all gateways, of which this one sees only a small part.
         idle_share = 1.0 - endpoint.reported_in_flight / UNREPORTED_IN_FLIGHT
         rate_factor = max(MIN_RATE_FACTOR, 1.0 + (IDLE_RATE_FACTOR - 1.0) * idle_share)
