--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -111,7 +111,7 @@
             # This loop runs for every request. Few endpoints have failures, so the cheap check comes first.
             if endpoint.failure_share > MAX_FAILURE_SHARE and is_ejected(endpoint, t1, now):
                 ejected_size += share
-                used -= endpoint.in_flight - endpoint.discounted
+                used -= endpoint.in_flight - endpoint.released_in_flight
         return used, pool.limit * (size - ejected_size) / (size or 1.0)
 
     def _fair_share_floor(self) -> float:
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -28,7 +28,6 @@
         "broken_streak",
         "cell",
         "credit_updated_at",
-        "discounted",
         "endpoint_id",
         "in_flight",
         "index_key",
@@ -36,6 +35,7 @@
         "mean_latency",
         "mean_reported_in_flight",
         "relative_latency",
+        "released_in_flight",
         "reported_in_flight",
         "ring_position",
         "slow_start_credit",
@@ -62,7 +62,7 @@
         """Time of its last start; 0 if that is long past."""
         self.in_flight = 0
         """This gateway's attempts in flight at it."""
-        self.discounted = 0
+        self.released_in_flight = 0
         """Attempts in flight at it that no longer count against the pool's capacity."""
 
     def clear(self) -> None:
--- a/balancer/outlier.py
+++ b/balancer/outlier.py
@@ -28,7 +28,7 @@
         return False
     if endpoint.current_delay(t1, now) > EJECTION_DELAY_T1 * t1:
         return True
-    return endpoint.failure_streak > 0 and endpoint.in_flight > endpoint.discounted
+    return endpoint.failure_streak > 0 and endpoint.in_flight > endpoint.released_in_flight
 
 
 def counts_as_failure(outcome: Outcome, endpoint: Endpoint) -> bool:
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -102,12 +102,12 @@
         if not self.has_released_capacity:
             self.has_released_capacity = True
             self.pool.in_flight -= 1
-            self.endpoint.discounted += 1
+            self.endpoint.released_in_flight += 1
 
     def leave_endpoint(self) -> None:
         """Remove the ended attempt from the counts of its endpoint and pool."""
         self.endpoint.in_flight -= 1
         if self.has_released_capacity:
-            self.endpoint.discounted -= 1
+            self.endpoint.released_in_flight -= 1
         else:
             self.pool.in_flight -= 1
