--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -8,9 +8,9 @@
 from .delay_estimate import DelayEstimate
 from .endpoint_list import EndpointEntry, EndpointState
 
-__all__ = ["UNREPORTED_IN_FLIGHT", "Endpoint", "EndpointPool", "IndexKey"]
+__all__ = ["ASSUMED_IN_FLIGHT", "Endpoint", "EndpointPool", "IndexKey"]
 
-UNREPORTED_IN_FLIGHT = 3.0
+ASSUMED_IN_FLIGHT = 3.0
 """Requests in flight assumed for an endpoint before its first load report."""
 
 
@@ -73,7 +73,7 @@
         self.mean_latency = 0.0
         """Smoothed latency of responses with a load report, in ns."""
         self.mean_reported_in_flight = 0.0
-        self.reported_in_flight = UNREPORTED_IN_FLIGHT
+        self.reported_in_flight = ASSUMED_IN_FLIGHT
         """Requests in flight for all gateways, from its last load report."""
         self.broken_streak = 0
         """Consecutive attempts that ended with a broken connection or an invalid response."""
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .endpoint import UNREPORTED_IN_FLIGHT, Endpoint
+from .endpoint import ASSUMED_IN_FLIGHT, Endpoint
 from .endpoint_index import EndpointIndex
 from .settings import Settings
 from .throughput import Throughput
@@ -17,7 +17,7 @@
 IDLE_RATE_FACTOR = 2.0
 """Factor on the used budget for an endpoint that reports that it is idle.
 
-An endpoint that reports `UNREPORTED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
+An endpoint that reports `ASSUMED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
 lower one.
 """
 MIN_RATE_FACTOR = 0.25
@@ -94,7 +94,7 @@
         gateway_count = max(1.0, self._replicas * pool_size / ready_count)
         rate = self._throughput.rate_per_endpoint(self._endpoints.endpoints_per_gateway)
         # The load report covers the load from all gateways, of which this one sees only a small part.
-        idle_share = 1.0 - endpoint.reported_in_flight / UNREPORTED_IN_FLIGHT
+        idle_share = 1.0 - endpoint.reported_in_flight / ASSUMED_IN_FLIGHT
         rate_factor = max(MIN_RATE_FACTOR, 1.0 + (IDLE_RATE_FACTOR - 1.0) * idle_share)
         capacity_share = self.capacity_share(endpoint, now)
         credit_per_s = (
