--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -55,7 +55,7 @@
         """
         self._up_to_date_ns = now_ns
 
-    def place(self, starts_ms: Sequence[tuple[EndpointId, int]], now_ns: int) -> list[int]:
+    def to_monotonic(self, starts_ms: Sequence[tuple[EndpointId, int]], now_ns: int) -> list[int]:
         """Convert the starts of a snapshot or delta to monotonic ns, each above 0, in the same order.
 
         `starts_ms` pairs each endpoint with the Unix time of its start in ms.
--- a/gateway/discovery/endpoint_list_parser.py
+++ b/gateway/discovery/endpoint_list_parser.py
@@ -85,7 +85,7 @@
             if start_time_ms and endpoint.entry.state is not EndpointState.GONE:
                 start_times_ms.append((endpoint.entry.endpoint_id, start_time_ms))
         # All start times of an update are converted together: the latest one is the reference for the others.
-        start_times_ns = self.start_times.place(start_times_ms, now_ns)
+        start_times_ns = self.start_times.to_monotonic(start_times_ms, now_ns)
         started_ns = {
             endpoint_id: start_time_ns
             for (endpoint_id, _), start_time_ns in zip(start_times_ms, start_times_ns, strict=True)
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -25,7 +25,7 @@
 
 def publish(times: StartTimes, now: int, **starts: int) -> dict[str, int]:
     """Publish the true starts of the endpoints in one list, and return the converted starts."""
-    converted = times.place([(name, to_unix_ms(start)) for name, start in starts.items()], now)
+    converted = times.to_monotonic([(name, to_unix_ms(start)) for name, start in starts.items()], now)
     return dict(zip(starts, converted, strict=True))
 
 
