--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -55,7 +55,7 @@
         if outcome is Outcome.OK:
             self._throughput.count_response(now)
             self._record_success(request, endpoint, result, now)
-            baseline_latency = request.traffic_class.baseline * (request.cost_hint or 1)
+            baseline_latency = request.traffic_class.baseline * (request.cost_hint_ns or 1)
             self._throughput.record_baseline_latency(baseline_latency)
         elif counts_as_failure(outcome, endpoint) and not attempt.is_overdue:
             self._record_failure(request, endpoint, outcome, result.elapsed_ns, now)
@@ -68,7 +68,7 @@
     def _record_success(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> None:
         """Records a successful response."""
         traffic_class = request.traffic_class
-        units = request.cost_hint or 1
+        units = request.cost_hint_ns or 1
         sample = result.elapsed_ns / units
         is_congested = sample > traffic_class.baseline and self._is_slowdown_expected(endpoint, now)
         traffic_class.record_latency(sample, units, endpoint.in_flight, is_congested)
@@ -114,7 +114,7 @@
 
     def _measured_delay(self, request: Request, endpoint: Endpoint, elapsed_ns: int, now: int) -> float:
         """Returns how much longer a response took than the baseline, in ns."""
-        units = request.cost_hint or 1
+        units = request.cost_hint_ns or 1
         sample = elapsed_ns / units
         baseline = request.traffic_class.baseline
         delay = (sample - baseline) * units
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -16,7 +16,7 @@
         "arrived_at",
         "attempt_count",
         "attempts_in_flight",
-        "cost_hint",
+        "cost_hint_ns",
         "deadline",
         "first_endpoint",
         "first_sent_at",
@@ -41,21 +41,21 @@
         traffic_class: TrafficClass,
         arrived_at: int,
         timeout_ns: int,
-        cost_hint: int,
+        cost_hint_ns: int,
         tenant: TenantQuota | None,
     ) -> None:
         self.request_id = request_id
         self.traffic_class = traffic_class
         self.arrived_at = arrived_at
         self.objective_ns = traffic_class.latency_objective_ns + int(
-            traffic_class.objective_cost_factor * cost_hint
+            traffic_class.objective_cost_factor * cost_hint_ns
         )
         # If a late response has no weight, work after the objective is wasted: the objective is the deadline.
         late_response_counts = traffic_class.late_weight or traffic_class.is_streaming
         self.deadline = arrived_at + (
             timeout_ns if late_response_counts else min(timeout_ns, self.objective_ns)
         )
-        self.cost_hint = cost_hint
+        self.cost_hint_ns = cost_hint_ns
         self.tenant = tenant
         self.is_over_quota = False
         self.t1 = 0
@@ -79,7 +79,7 @@
     def expected_latency(self, deviations: float) -> float:
         """Expected latency in ns: class mean plus these deviations, times cost; 0 before any response."""
         traffic_class = self.traffic_class
-        return (traffic_class.mean + deviations * traffic_class.deviation) * (self.cost_hint or 1)
+        return (traffic_class.mean + deviations * traffic_class.deviation) * (self.cost_hint_ns or 1)
 
 
 class Attempt:
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -107,7 +107,7 @@
         traffic_class = request.traffic_class
         if self._settings.weight_by_work:
             return traffic_class.priority_weight
-        work = max(traffic_class.baseline * (request.cost_hint or 1), 1.0)
+        work = max(traffic_class.baseline * (request.cost_hint_ns or 1), 1.0)
         return traffic_class.priority_weight * SECOND / work
 
     # ---- Attempts --------------------------------------------------------------------------------
