--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -21,11 +21,11 @@
 from .timers import Timers, now_ns
 from .upstream import Upstream
 
-__all__ = ["SWEEP", "Gateway"]
+__all__ = ["SWEEP_INTERVAL_NS", "Gateway"]
 
 log = logging.getLogger("gateway")
 
-SWEEP = 250 * MS
+SWEEP_INTERVAL_NS = 250 * MS
 """Interval of the sweep over all connections, ns; their time limits are enforced with this precision."""
 
 
@@ -102,7 +102,7 @@
         self.discovery.start()
         address = self._listener.start(configuration.listen_address)
         await self._open_gossip_socket(configuration)
-        self.timers.call_after(SWEEP, self._sweep, None)
+        self.timers.call_after(SWEEP_INTERVAL_NS, self._sweep, None)
         log.info("listening on %s:%d", *address)
         return address
 
@@ -136,7 +136,7 @@
         try:
             self._sweep_once(now_ns())
         finally:  # an exception at one connection must not prevent later sweeps
-            self.timers.call_after(SWEEP, self._sweep, None)
+            self.timers.call_after(SWEEP_INTERVAL_NS, self._sweep, None)
 
     def _sweep_once(self, now: int) -> None:
         self.upstream.sweep(now)
--- a/scale/headless.py
+++ b/scale/headless.py
@@ -13,7 +13,7 @@
 from balancer import MS, Actions, Balancer, EndpointEntry, Settings, UpdateKind
 from gateway.discovery import Discovery, DiscoveryCall, EndpointListParser, ListedEndpoint
 from gateway.dispatcher import Dispatcher
-from gateway.gateway import SWEEP
+from gateway.gateway import SWEEP_INTERVAL_NS
 from gateway.timers import Timers, now_ns
 from gateway.upstream import Upstream
 
@@ -163,7 +163,7 @@
     def _sweep(self, _: None) -> None:
         self._upstream.sweep(now_ns())
         self._discovery.sweep(now_ns())
-        self._timers.call_after(SWEEP, self._sweep, None)
+        self._timers.call_after(SWEEP_INTERVAL_NS, self._sweep, None)
 
     def in_force_ns(self, generation: int) -> int | None:
         """Return when (monotonic, ns) this generation or a later one was applied; None if it is not yet."""
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -50,7 +50,7 @@
 
 
 async def test_errors_in_quick_succession_wait_for_a_sweep(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
+    monkeypatch.setattr("gateway.gateway.SWEEP_INTERVAL_NS", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
@@ -75,7 +75,7 @@
     errors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A valid request is read and forwarded at once, and its response does not wait for a sweep."""
-    monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
+    monkeypatch.setattr("gateway.gateway.SWEEP_INTERVAL_NS", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
@@ -92,7 +92,7 @@
 
 async def test_a_flood_of_invalid_requests_is_read_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every request that was read gets a response, and the number of open requests stays bounded."""
-    monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
+    monkeypatch.setattr("gateway.gateway.SWEEP_INTERVAL_NS", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint())
