--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from ..messages import MAX_BODY, Header, field_value
+from ..messages import MAX_BODY_BYTES, Header, field_value
 from .errors import InvalidRequestError
 
 __all__ = ["ParsedRequest", "ParserHandler", "RequestParser"]
@@ -125,7 +125,9 @@
             self._record_error(400, "contradictory framing")
         elif any(value.lower() != b"chunked" for value in codings):
             self._record_error(400, "an unknown coding")
-        elif lengths and (not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY):
+        elif lengths and (
+            not lengths[0].isdigit() or int(lengths[0][:MAX_CONTENT_LENGTH_DIGITS]) > MAX_BODY_BYTES
+        ):
             self._record_error(413, "a body too long")
         elif any(value.lower() == b"100-continue" for value in expectations):
             self._handler.on_expect_continue()
@@ -134,7 +136,7 @@
         """Append a part of the body."""
         if self.error is not None:
             return
-        if len(self._body) + len(body) > MAX_BODY:
+        if len(self._body) + len(body) > MAX_BODY_BYTES:
             self._record_error(413, "a body too long")
             self._body.clear()
         else:
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -8,7 +8,7 @@
 __all__ = [
     "HOP_BY_HOP_HEADERS",
     "LOAD_REPORT_HEADER",
-    "MAX_BODY",
+    "MAX_BODY_BYTES",
     "NO_PAYLOAD",
     "ClientRequest",
     "Header",
@@ -17,7 +17,7 @@
     "field_value",
 ]
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Maximum length of a message body, bytes."""
 HOP_BY_HOP_HEADERS = frozenset(
     (
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -4,7 +4,7 @@
 
 import httptools
 
-from ..messages import MAX_BODY, Header, Response, field_value
+from ..messages import MAX_BODY_BYTES, Header, Response, field_value
 
 __all__ = [
     "MAX_HEAD_BYTES",
@@ -121,7 +121,7 @@
         if not self._is_head_complete:
             # httptools reports a header line only when it is complete, so raw bytes are limited as well.
             self._head_bytes += len(data)
-            if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY:
+            if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 self.error = HeadTooLongError()
         try:
             self._parser.feed_data(data)
@@ -179,7 +179,7 @@
         if self.is_complete:
             return
         self._body += body
-        if len(self._body) > MAX_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             self.error = BodyTooLongError()
             self._body.clear()
 
@@ -197,4 +197,4 @@
 
 
 def _is_valid_content_length(value: bytes) -> bool:
-    return value.isdigit() and int(value[:MAX_LENGTH_DIGITS]) <= MAX_BODY
+    return value.isdigit() and int(value[:MAX_LENGTH_DIGITS]) <= MAX_BODY_BYTES
