--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 __all__ = [
+    "EMPTY_PAYLOAD",
     "HOP_BY_HOP_HEADERS",
     "LOAD_REPORT_HEADER",
     "MAX_BODY_BYTES",
-    "NO_PAYLOAD",
     "ClientRequest",
     "Header",
     "Payload",
@@ -56,7 +56,7 @@
         return len(self.head) + len(self.body)
 
 
-NO_PAYLOAD = Payload(b"", b"")
+EMPTY_PAYLOAD = Payload(b"", b"")
 """Replaces a payload that is no longer needed, to release its memory."""
 
 
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -7,7 +7,7 @@
 
 from balancer import MS, EndpointId, Outcome
 
-from ..messages import NO_PAYLOAD, Payload, Response
+from ..messages import EMPTY_PAYLOAD, Payload, Response
 
 if TYPE_CHECKING:
     from .connection import EndpointConnection
@@ -68,5 +68,5 @@
             self.is_over = True
             self.connection = None
             # The deadline timer holds the attempt until it expires; the body must not stay in memory so long.
-            self.payload = NO_PAYLOAD
+            self.payload = EMPTY_PAYLOAD
             self.on_ended(self, outcome, response)
