--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -54,7 +54,7 @@
     """Destination of gossip for all gateways."""
     gossip_address: Address | None
     """Local address on which gossip is received."""
-    rows: list[Raw]
+    tenant_rows: list[Raw]
     """The tenants in the order of the file, as raw JSON."""
 
     @classmethod
@@ -68,7 +68,9 @@
                 configuration: Configuration = stop.value
                 break
         with as_configuration_error():
-            tenants = tuple(parse_tenant(decode(row), index) for index, row in enumerate(configuration.rows))
+            tenants = tuple(
+                parse_tenant(decode(row), index) for index, row in enumerate(configuration.tenant_rows)
+            )
         configuration.settings = replace(configuration.settings, tenants=tenants)
         return configuration
 
@@ -127,7 +129,7 @@
             broadcast_address=_parse_optional_address(sections.get("peers_all")),
             gossip_address=_parse_optional_address(sections.get("peer_listen")),
             machine_types=[str(name) for name in settings.get("flavors", ())],
-            rows=rows,
+            tenant_rows=rows,
         )
 
     def changes_that_need_restart(self, current: Configuration) -> list[str]:
--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -69,7 +69,7 @@
         )
         self.dispatcher.attach(self.upstream, self.discovery)
         self.timers.on_late = self.dispatcher.telemetry.note_lag
-        tenants = TenantTable(configuration.rows, settings.tenants)
+        tenants = TenantTable(configuration.tenant_rows, settings.tenants)
         self.server = ClientServer(
             self.dispatcher,
             settings,
@@ -84,7 +84,7 @@
         )
         # `tenants` now holds the tenants; keeping a long list twice would only waste memory.
         configuration.settings = replace(settings, tenants=())
-        configuration.rows = []
+        configuration.tenant_rows = []
         self.configuration_reloader = ConfigurationReloader(
             loop,
             configuration,
--- a/gateway/reload.py
+++ b/gateway/reload.py
@@ -112,8 +112,8 @@
         current = self.configuration
         self._check_version(configuration, current)
         self.state = ReloadState.COMPARING
-        difference = yield from self.tenants.compare(configuration.rows)
-        configuration.rows = []
+        difference = yield from self.tenants.compare(configuration.tenant_rows)
+        configuration.tenant_rows = []
         # The discovery address changes without a restart, even if other changes in the file require one.
         self._discovery.move_to(configuration.discovery_address)
         if names := configuration.changes_that_need_restart(current):
--- a/scale/parsing.py
+++ b/scale/parsing.py
@@ -29,9 +29,11 @@
     process, config_bytes = psutil.Process(), path.stat().st_size
     start_rss = process.memory_info().rss
     read_ms, configuration = _timed(lambda: Configuration.read({"EDGE_CONFIG": str(path)}))
-    tenants_ms, tenants = _timed(lambda: TenantTable(configuration.rows, configuration.settings.tenants))
-    tenants_bytes = sum(len(bytes(row)) for row in configuration.rows)
-    configuration.rows = []  # the gateway frees the rows here too
+    tenants_ms, tenants = _timed(
+        lambda: TenantTable(configuration.tenant_rows, configuration.settings.tenants)
+    )
+    tenants_bytes = sum(len(bytes(row)) for row in configuration.tenant_rows)
+    configuration.tenant_rows = []  # the gateway frees the rows here too
     balancer_ms, balancer = _timed(lambda: Balancer(configuration.settings, 1, cast(Actions, None)))
     end_rss = process.memory_info().rss
     del balancer, tenants  # referenced until the memory is measured
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -377,6 +377,6 @@
     configuration = run_steps(Configuration.read_in_steps(environ), lambda: steps.append(1))
     assert len(steps) >= 3
     assert configuration.settings.tenants == ()
-    assert len(configuration.rows) == 2
+    assert len(configuration.tenant_rows) == 2
     tenants = Configuration.read(environ).settings.tenants
     assert [tenant.name for tenant in tenants] == ["a", "1"]
