--- a/gateway/control_plane.py
+++ b/gateway/control_plane.py
@@ -130,7 +130,7 @@
 
     def _on_health_checked(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         is_served = outcome is Outcome.OK
-        load_report = self._load_reports.read(response.body) if is_served and response is not None else ()
+        load_report = self._load_reports.parse(response.body) if is_served and response is not None else ()
         result = HealthCheckResult(
             attempt.endpoint_id, outcome, max(1, now_ns() - attempt.started_ns), load_report
         )
--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -269,7 +269,7 @@
         except Exception:  # otherwise the balancer would count the attempt as in flight forever
             log.exception("failed to send a response to the client")
         is_final = request.is_ended
-        load_report = self._load_reports.read(attempt.load_report)
+        load_report = self._load_reports.parse(attempt.load_report)
         result = AttemptResult(
             request.request_id,
             attempt.number,
--- a/gateway/load_report.py
+++ b/gateway/load_report.py
@@ -21,7 +21,7 @@
     def __init__(self, columns: Sequence[str], field_names: Sequence[str]) -> None:
         self.columns = list(zip(columns, field_names, strict=False))
 
-    def read(self, text: bytes) -> tuple[float, ...]:
+    def parse(self, text: bytes) -> tuple[float, ...]:
         """The values in the order of the columns; empty if the report is missing or invalid."""
         if not self.columns or not text:
             return ()
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("text", ["9" * 400, "1e999", "-1", "NaN", "1e30", "[]", '"x"', "null"])
 def test_an_invalid_load_report_does_not_reach_the_balancer(text: str) -> None:
-    assert LoadReportParser(["outstanding"], ["inflight"]).read(b'{"outstanding": %b}' % text.encode()) == ()
+    assert LoadReportParser(["outstanding"], ["inflight"]).parse(b'{"outstanding": %b}' % text.encode()) == ()
 
 
 class RecordsOutcomes(Sends):
