--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -252,7 +252,7 @@
 
     gateway: Gateway
     discovery: FakeDiscovery
-    where: tuple[str, int]
+    gateway_address: tuple[str, int]
 
     async def begin(
         self,
@@ -290,12 +290,12 @@
             self.gateway = Gateway(
                 Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make
             )
-        self.where = await self.gateway.start()
+        self.gateway_address = await self.gateway.start()
         return self
 
     async def client(self) -> Client:
         """Open a new connection to the gateway."""
-        return Client(*await asyncio.open_connection(*self.where))
+        return Client(*await asyncio.open_connection(*self.gateway_address))
 
 
 async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
