--- a/gateway/request.py
+++ b/gateway/request.py
@@ -137,7 +137,8 @@
     def has_attempt_on_open_connection(self) -> bool:
         """Whether an attempt in flight has an established connection, so that its sending has begun."""
         return any(
-            attempt.connection is not None and attempt.connection.up() for attempt in self.in_flight.values()
+            attempt.connection is not None and attempt.connection.is_open()
+            for attempt in self.in_flight.values()
         )
 
 
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -93,7 +93,7 @@
         self._transport: asyncio.Transport | None = None
         self._response = ResponseParser()
 
-    def up(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the connection was established; its first attempt is sent at that moment."""
         return self._transport is not None
 
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -122,7 +122,7 @@
             connection.end_attempt(Outcome.CONNECT_FAILED)
 
     def _expire_connect(self, connection: EndpointConnection) -> None:
-        if not connection.up():
+        if not connection.is_open():
             connection.end_attempt(Outcome.CONNECT_FAILED)
 
     def release(self, connection: EndpointConnection) -> None:
