--- a/gateway/control_plane.py
+++ b/gateway/control_plane.py
@@ -152,5 +152,5 @@
         log.info("balancer: %s", text)
 
     def _expire_attempt(self, attempt: Attempt) -> None:
-        if not attempt.is_over:
+        if not attempt.is_ended:
             self.upstream.expire_attempt(attempt)
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -26,7 +26,7 @@
         "connection",
         "deadline_ns",
         "endpoint_id",
-        "is_over",
+        "is_ended",
         "load_report",
         "may_start",
         "number",
@@ -54,7 +54,7 @@
         self.on_ended = on_ended
         self.may_start = may_start
         self.connection: EndpointConnection | None = None
-        self.is_over = False
+        self.is_ended = False
         self.load_report = b""  # unparsed, as received from the endpoint; empty if it sent none
 
     def serialize(self, now_ns: int) -> bytes:
@@ -64,8 +64,8 @@
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """End the attempt and report its outcome; calls after the first have no effect."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_ended:
+            self.is_ended = True
             self.connection = None
             # The deadline timer holds the attempt until it expires; the body must not stay in memory so long.
             self.payload = EMPTY_PAYLOAD
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -130,7 +130,7 @@
         attempt = self.attempt
         if (
             attempt is None
-            or attempt.is_over
+            or attempt.is_ended
             or not self.endpoint.accepts(self)
             or now_ns() >= attempt.deadline_ns
         ):
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -52,7 +52,7 @@
         return attempt, result
 
     def _expire(self, attempt: Attempt) -> None:
-        if not attempt.is_over:
+        if not attempt.is_ended:
             self.upstream.expire_attempt(attempt)
 
 
