--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -99,7 +99,7 @@
         if self._fetch_call is None:
             self._fetch_call = self._call(False)
 
-    def move_to(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switch to another address; the old watch stays open until the first update of the new one.
 
         The new watch starts at generation 0, because generations of different addresses are not comparable.
--- a/gateway/reload.py
+++ b/gateway/reload.py
@@ -115,7 +115,7 @@
         difference = yield from self.tenants.compare(configuration.tenant_rows)
         configuration.tenant_rows = []
         # The discovery address changes without a restart, even if other changes in the file require one.
-        self._discovery.move_to(configuration.discovery_address)
+        self._discovery.change_address(configuration.discovery_address)
         if names := configuration.changes_that_need_restart(current):
             log.error(
                 "EDGE_CONFIG: %s: a change needs a restart; the settings in force stay", ", ".join(names)
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -202,7 +202,7 @@
     caplog.set_level("INFO", "gateway")
     async with running_gateway(tmp_path, monkeypatch, configuration={"version": 7}) as (file, endpoint):
         moved: list[Any] = []
-        monkeypatch.setattr(file.harness.gateway.discovery, "move_to", moved.append)
+        monkeypatch.setattr(file.harness.gateway.discovery, "change_address", moved.append)
         file.write(sections, **settings)
         await file.wait_for(ReloadState.IDLE)
         assert bool(moved) is moves_discovery
