--- a/gateway/upstream/endpoint.py
+++ b/gateway/upstream/endpoint.py
@@ -10,9 +10,9 @@
 if TYPE_CHECKING:
     from .connection import EndpointConnection
 
-__all__ = ["MAX_IDLE_PER_ENDPOINT", "REUSE_DELAY", "UpstreamEndpoint"]
+__all__ = ["MAX_IDLE_PER_ENDPOINT", "REUSE_DELAY_NS", "UpstreamEndpoint"]
 
-REUSE_DELAY = 10 * MS
+REUSE_DELAY_NS = 10 * MS
 """Minimum idle time before a connection is reused, ns: a second response to the previous request may arrive
 some milliseconds late, and would be taken for the response to the next request."""
 MAX_IDLE_PER_ENDPOINT = 16
@@ -49,7 +49,9 @@
 
     def take_idle(self, now_ns: int) -> EndpointConnection | None:
         """Remove and return the usable connection that became idle last; close unusable newer ones."""
-        index = bisect_right(self.idle, now_ns - REUSE_DELAY, key=lambda connection: connection.idle_since_ns)
+        index = bisect_right(
+            self.idle, now_ns - REUSE_DELAY_NS, key=lambda connection: connection.idle_since_ns
+        )
         while index:
             index -= 1
             connection = self.idle.pop(index)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -10,7 +10,7 @@
 from gateway.messages import Payload, Response
 from gateway.timers import Timers, now_ns
 from gateway.upstream import Attempt, Upstream
-from gateway.upstream.endpoint import REUSE_DELAY
+from gateway.upstream.endpoint import REUSE_DELAY_NS
 
 REQUEST_HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
 MAX_OPEN = 20
@@ -57,10 +57,10 @@
 
 
 def age_idle_connections(upstream: Upstream) -> None:
-    """Make idle connections old enough to be reused (`REUSE_DELAY`)."""
+    """Make idle connections old enough to be reused (`REUSE_DELAY_NS`)."""
     for endpoint in upstream.endpoints.values():
         for connection in endpoint.idle:
-            connection.idle_since_ns -= REUSE_DELAY
+            connection.idle_since_ns -= REUSE_DELAY_NS
 
 
 def open_listener(receive_buffer: int = 0) -> socket.socket:
