--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -35,7 +35,7 @@
         self._loop_timer: asyncio.TimerHandle | None = None
         self._loop_timer_due_ns = 0
         self._is_delayed = False  # a late expiry was delayed, so that the event loop reads first
-        self.on_late: Callable[[int], None] | None = None
+        self.on_expiry: Callable[[int], None] | None = None
         """Called at each expiry with its lag, ns."""
 
     def call_after(self, delay_ns: int, callback: Callable[[Argument], None], argument: Argument) -> None:
@@ -61,8 +61,8 @@
         self._loop_timer = None
         heap, now = self._heap, now_ns()
         lag_ns = now - self._loop_timer_due_ns
-        if self.on_late is not None:
-            self.on_late(lag_ns)
+        if self.on_expiry is not None:
+            self.on_expiry(lag_ns)
         if lag_ns > STALL_THRESHOLD_NS and not self._is_delayed:
             # The event loop expires timers before it reads, so that an attempt whose response waits in the
             # socket would time out.
