--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -68,7 +68,7 @@
             self.dispatcher.on_endpoint_list,
         )
         self.dispatcher.attach(self.upstream, self.discovery)
-        self.timers.on_expiry = self.dispatcher.telemetry.note_lag
+        self.timers.on_expiry = self.dispatcher.telemetry.record_lag
         tenants = TenantTable(configuration.tenant_rows, settings.tenants)
         self.server = ClientServer(
             self.dispatcher,
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -172,7 +172,7 @@
         """Increment a counter, a `CounterName`, for a reason or outcome if any."""
         self._counts[name, detail] += 1
 
-    def note_lag(self, late_ns: int) -> None:
+    def record_lag(self, late_ns: int) -> None:
         """Record how late a timer expired; the summary line reports the longest lag in its interval."""
         self._max_lag_ns = max(self._max_lag_ns, late_ns)
 
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -45,7 +45,7 @@
     telemetry = Telemetry()
     telemetry.count(CounterName.REJECTED, "table_full")
     telemetry.count(CounterName.REJECTED, "table_full")
-    telemetry.note_lag(12 * MS)
+    telemetry.record_lag(12 * MS)
     telemetry.write_summary(SECOND, open_requests=3)
     telemetry.write_summary(SECOND + SECOND // 2)
     telemetry.write_summary(2 * SECOND)
