--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -91,7 +91,7 @@
             self.reading.earliest_arrival(len(data), now), self._server.loop_monitor.earliest_arrival(now)
         )
         assert self._transport is not None
-        self._server.dispatcher.telemetry.note_read(self._transport.get_extra_info("socket"))
+        self._server.dispatcher.telemetry.record_read_age(self._transport.get_extra_info("socket"))
         if not self._parser.in_message and self.has_sent_valid_request:
             self.waiting_since_ns = now  # not for the first request, whose timeout runs from the connect
         self._parser.feed(data)
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -176,7 +176,7 @@
         """Record how late a timer expired; the summary line reports the longest lag in its interval."""
         self._max_lag_ns = max(self._max_lag_ns, late_ns)
 
-    def note_read(self, sock: socket.socket) -> None:
+    def record_read_age(self, sock: socket.socket) -> None:
         """Record, for a sample of client reads, how long the data had waited unread in the socket."""
         if self._age_samples < AGE_SAMPLES_PER_SUMMARY:
             self._age_samples += 1
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -58,7 +58,7 @@
 def test_the_age_of_unread_bytes_is_in_the_summary(caplog: pytest.LogCaptureFixture) -> None:
     telemetry = Telemetry()
     local, remote = socket.socketpair()
-    telemetry.note_read(local)  # not a TCP socket, so it has no age
+    telemetry.record_read_age(local)  # not a TCP socket, so it has no age
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as client,
@@ -67,7 +67,7 @@
         client.send(b"x")
         age_ms = 0
         while age_ms < 40:  # the age grows until the data is read
-            telemetry.note_read(accepted)
+            telemetry.record_read_age(accepted)
             telemetry.write_summary(0)
             age_ms = int(_fields(caplog.messages[-1])["unread_ms"])
             telemetry = Telemetry()
