--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -95,7 +95,7 @@
         pool.effective_size = size or pool.effective_size
 
     def _usage_and_limit(self, pool: EndpointPool, t1: int, now: int) -> tuple[int, float]:
-        """Returns the attempts in flight at endpoints that are not ejected, and the limit for these.
+        """Return the attempts in flight at endpoints that are not ejected, and the limit for these.
 
         The limit shrinks by the share of the ejected endpoints. Otherwise the last endpoint left would get
         the capacity of all, become overloaded and be ejected too.
@@ -132,7 +132,7 @@
 
 
 def _rejection_share(pool: EndpointPool) -> float:
-    """Returns the share of the pool's endpoints whose last attempt was rejected.
+    """Return the share of the pool's endpoints whose last attempt was rejected.
 
     The rejection by one endpoint says little about the others.
     """
--- a/balancer/delay_estimate.py
+++ b/balancer/delay_estimate.py
@@ -60,7 +60,7 @@
         """Smoothed share of failures among the outcomes."""
 
     def current_delay(self, t1: int, now: int) -> float:
-        """Returns the delay in ns at `now`, after decay, for a request with this T1."""
+        """Return the delay in ns at `now`, after decay, for a request with this T1."""
         if not self.smoothed_delay:
             return 0.0
         # The decay takes at least the paper's T1. With a shorter one, requests would consider an endpoint
@@ -75,7 +75,7 @@
         )
 
     def observe(self, delay: float, t1: int, now: int, failed_attempt_sent_at: int | None) -> None:
-        """Adds an observation: a queueing delay in ns.
+        """Add an observation: a queueing delay in ns.
 
         `failed_attempt_sent_at` is the time at which a failed attempt was sent, or None if the attempt
         succeeded. Attempts that are in flight together tend to fail together, so they count as one failure of
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -48,7 +48,7 @@
         self._random = random
 
     def select_for_first_attempt(self, request: Request, now: int) -> Endpoint | None:
-        """Selects an endpoint for a first attempt; None if no pool has one with free capacity."""
+        """Select an endpoint for a first attempt; None if no pool has one with free capacity."""
         local, remote = self._endpoints.local_pool, self._endpoints.remote_pool
         for pool in (remote, local) if self.should_spill_over(now) else (local, remote):
             if request.is_over_quota:
@@ -67,7 +67,7 @@
     def pick_less_loaded(
         self, request: Request, candidates: Sequence[Endpoint], now: int, max_draws: int
     ) -> Endpoint | None:
-        """Returns the less loaded of two random endpoints.
+        """Return the less loaded of two random endpoints.
 
         At most `max_draws` pairs are drawn, until the best endpoint so far is idle and not ejected. Returns
         None if no drawn endpoint may receive the request.
@@ -111,7 +111,7 @@
 
 
 def _relative_load(endpoint: Endpoint) -> float:
-    """Returns the endpoint's load: its attempts in flight, scaled by relative latency and divided by weight.
+    """Return the endpoint's load: its attempts in flight, scaled by relative latency and divided by weight.
 
     The next attempt is included, so that of two idle endpoints the faster one has the lower load. A large
     endpoint whose weight gives it too many requests gets fewer as its latency rises.
--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -43,7 +43,7 @@
         self._load_reports = load_reports
 
     def record_outcome(self, attempt: Attempt, result: AttemptResult, now: int) -> Outcome:
-        """Records how an attempt ended and returns the outcome that it counts as."""
+        """Record how an attempt ended and return the outcome that it counts as."""
         request, endpoint = attempt.request, attempt.endpoint
         outcome = result.outcome
         if outcome is Outcome.CANCELLED and result.elapsed_ns >= _silence_timeout(request):
@@ -62,11 +62,11 @@
         return outcome
 
     def record_overdue(self, request: Request, endpoint: Endpoint, now: int) -> None:
-        """Records an attempt without a timeout, in flight for T1: its endpoint may not be responding."""
+        """Record an attempt without a timeout, in flight for T1: its endpoint may not be responding."""
         endpoint.observe(request.t1, request.t1, now, now - request.t1)
 
     def _record_success(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> None:
-        """Records a successful response."""
+        """Record a successful response."""
         traffic_class = request.traffic_class
         units = request.cost_hint_ns or 1
         sample = result.elapsed_ns / units
@@ -80,7 +80,7 @@
     def _record_failure(
         self, request: Request, endpoint: Endpoint, outcome: Outcome, elapsed_ns: int, now: int
     ) -> None:
-        """Records a failure that counts against the endpoint."""
+        """Record a failure that counts against the endpoint."""
         if outcome is Outcome.TIMEOUT:
             delay = float(elapsed_ns)  # an attempt with less time than T1 shows no more than this
         elif outcome is Outcome.ERROR or outcome in BROKEN_OUTCOMES:
@@ -97,7 +97,7 @@
         return self._endpoints.pool_of(endpoint).current_delay(REFERENCE_T1_NS, now) > Q_MIN * REFERENCE_T1_NS
 
     def _queueing_delay(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> float:
-        """Returns the queueing delay that a response indicates, in ns.
+        """Return the queueing delay that a response indicates, in ns.
 
         It is negative for a response that is faster than the baseline. The work of requests varies as much as
         the delay does, so negative values are needed for a mean around zero where there is no delay.
@@ -113,7 +113,7 @@
         return (reported + measured) / 2
 
     def _measured_delay(self, request: Request, endpoint: Endpoint, elapsed_ns: int, now: int) -> float:
-        """Returns how much longer a response took than the baseline, in ns."""
+        """Return how much longer a response took than the baseline, in ns."""
         units = request.cost_hint_ns or 1
         sample = elapsed_ns / units
         baseline = request.traffic_class.baseline
@@ -132,7 +132,7 @@
         failed_attempt_sent_at: int | None = None,
         was_rejected: bool = False,
     ) -> None:
-        """Records a delay at an endpoint and its pool, and adapts the pool's limit."""
+        """Record a delay at an endpoint and its pool, and adapt the pool's limit."""
         endpoint.last_was_rejection = was_rejected or (
             failed_attempt_sent_at is not None and endpoint.last_was_rejection
         )
@@ -144,7 +144,7 @@
 
 
 def _silence_timeout(request: Request) -> float:
-    """Returns the time in ns after which a cancelled attempt without a response counts as a timeout."""
+    """Return the time in ns after which a cancelled attempt without a response counts as a timeout."""
     if not request.traffic_class.mean:
         return request.t1
     return min(request.t1, request.expected_latency(T1_LATENCY_DEVIATIONS))
--- a/balancer/load_report.py
+++ b/balancer/load_report.py
@@ -36,7 +36,7 @@
         return self._queue is not None or self._service_ms is not None
 
     def queueing_delay(self, endpoint: Endpoint, elapsed_ns: int, report: Sequence[float]) -> float | None:
-        """Returns the delay in ns that the report of a response indicates, or None if it indicates none.
+        """Return the delay in ns that the report of a response indicates, or None if it indicates none.
 
         `elapsed_ns` is the latency of that response.
         """
--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -30,12 +30,12 @@
         """Smoothed share of the requests within quota that miss their objective."""
 
     def record(self, request: Request, missed: bool) -> None:
-        """Records whether a finished request missed its objective; requests over quota do not count."""
+        """Record whether a finished request missed its objective; requests over quota do not count."""
         if not request.is_over_quota:
             self.missed_share += LATENCY_WEIGHT * (missed - self.missed_share)
 
     def shed_probability(self) -> float:
-        """Returns the probability of shedding an eligible request: 0 while few objectives are missed."""
+        """Return the probability of shedding an eligible request: 0 while few objectives are missed."""
         share = (self.missed_share - SHEDDING_START_SHARE) / (FULL_SHEDDING_SHARE - SHEDDING_START_SHARE)
         return min(max(share, 0.0), 1.0)
 
@@ -56,7 +56,7 @@
         return min(request.deadline, objective_at) - now < request.expected_latency(-1.0)
 
     def over_quota_admit_probability(self, pool: EndpointPool, now: int) -> float:
-        """Returns the probability of admitting a request over its quota.
+        """Return the probability of admitting a request over its quota.
 
         It falls with the delay of the pool, and as requests within quota miss their objective.
         """
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -53,12 +53,12 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies new settings."""
+        """Apply new settings."""
         self._max_attempts = settings.limits.max_attempts
         self._tick_ns = settings.tick_ns
 
     def t1(self, request: Request) -> int:
-        """Returns T1 for a request, in ns: well above its expected latency, less than the time it has."""
+        """Return T1 for a request, in ns: well above its expected latency, less than the time it has."""
         longest_ns = MAX_T1_TIME_SHARE * (request.deadline - request.arrived_at)
         # The objective sets a minimum: a T1 learned from a few short responses alone would be too short.
         expected_ns = max(
@@ -67,17 +67,17 @@
         return max(self._tick_ns, int(min(expected_ns, longest_ns)))
 
     def current_gap(self, request: Request) -> int:
-        """Returns the length of the request's next gap in ns, without starting it."""
+        """Return the length of the request's next gap in ns, without starting it."""
         return request.t1 << min(request.gap_count, MAX_GAP_DOUBLINGS)
 
     def next_gap(self, request: Request) -> int:
-        """Starts the next gap and returns its length in ns."""
+        """Start the next gap and return its length in ns."""
         gap = self.current_gap(request)
         request.gap_count += 1
         return gap
 
     def attempt_timeout(self, request: Request, now: int) -> int:
-        """Returns the timeout in ns of an attempt sent now: a gap if a retry could follow it, else 0."""
+        """Return the timeout in ns of an attempt sent now: a gap if a retry could follow it, else 0."""
         time_left = request.deadline - now
         gap = self.current_gap(request)
         traffic_class = request.traffic_class
@@ -97,7 +97,7 @@
         return gap
 
     def select_endpoint(self, request: Request, now: int) -> Endpoint | None:
-        """Selects an endpoint that the retry may be sent to; None if all those tried are blocked.
+        """Select an endpoint that the retry may be sent to; None if all those tried are blocked.
 
         A random candidate pair is tried first, then other candidates, then remote endpoints if requests spill
         over.
@@ -117,7 +117,7 @@
         return None
 
     def _candidates(self, request: Request) -> Sequence[Endpoint]:
-        """Returns the candidates of a retry: the local pool, or endpoints in the deduplication scope."""
+        """Return the candidates of a retry: the local pool, or endpoints in the deduplication scope."""
         first_endpoint, traffic_class = request.first_endpoint, request.traffic_class
         if (
             first_endpoint is None
@@ -132,7 +132,7 @@
     def _scan(
         self, request: Request, candidates: Sequence[Endpoint], tried: Endpoint | None, now: int
     ) -> Endpoint | None:
-        """Returns an endpoint that the retry may be sent to, scanning candidates from a random position."""
+        """Return an endpoint that the retry may be sent to, scanning candidates from a random position."""
         size = len(candidates)
         start = int(self._random() * size)
         for step in range(min(size, MAX_SCANNED_ENDPOINTS)):
@@ -151,5 +151,5 @@
 
 
 def pass_probability(estimate: DelayEstimate, t1: int, now: int) -> float:
-    """Returns the probability with which a retry passes the gate (the paper's retransmission probability)."""
+    """Return the probability with which a retry passes the gate (the paper's retransmission probability)."""
     return min(max((t1 - estimate.current_delay(t1, now)) / (t1 - Q_MIN * t1), 0.0), 1.0)
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -47,7 +47,7 @@
         self._overload_factor = settings.rules.overload_factor
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies new settings, also to endpoints that are already in slow start."""
+        """Apply new settings, also to endpoints that are already in slow start."""
         self._replicas = settings.replicas
         self._window_ns = settings.rules.slow_start_window_ns
         self._initial_share = settings.rules.slow_start_initial_share
@@ -57,7 +57,7 @@
                 endpoint.slow_start_until = endpoint.started_at + self._window_ns
 
     def begin(self, endpoint: Endpoint, started_at: int, now: int) -> None:
-        """Starts slow start for an endpoint.
+        """Start slow start for an endpoint.
 
         The initial credit is random, so that the gateways that draw from the endpoint do not all send at
         once, and so that a rate below one attempt per second is met on average.
@@ -69,12 +69,12 @@
         endpoint.slow_start_credit = self._random()
 
     def capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """Returns the minimum share of its capacity that an endpoint in slow start has."""
+        """Return the minimum share of its capacity that an endpoint in slow start has."""
         elapsed_share = max(0, now - endpoint.started_at) / self._window_ns
         return min(1.0, self._initial_share + (1.0 - self._initial_share) * elapsed_share)
 
     def current_capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """Returns the minimum share of its capacity that any endpoint has: 1 outside slow start."""
+        """Return the minimum share of its capacity that any endpoint has: 1 outside slow start."""
         return self.capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
 
     def keeps_candidate(self, endpoint: Endpoint, now: int) -> bool:
--- a/balancer/throughput.py
+++ b/balancer/throughput.py
@@ -26,11 +26,11 @@
         self._longest_latency = _longest_latency(classes)
 
     def apply_settings(self, classes: Sequence[RequestClass]) -> None:
-        """Applies new request classes."""
+        """Apply new request classes."""
         self._longest_latency = _longest_latency(classes)
 
     def count_response(self, now: int) -> None:
-        """Counts a response in the response rate."""
+        """Count a response in the response rate."""
         elapsed_s = (now - self._updated_at) / SECOND
         self._updated_at = now
         self._rate_per_s = (
@@ -38,14 +38,14 @@
         )
 
     def record_baseline_latency(self, latency: float) -> None:
-        """Records a response to a request whose baseline latency is `latency` ns."""
+        """Record a response to a request whose baseline latency is `latency` ns."""
         if self.baseline_latency:
             self.baseline_latency += LATENCY_WEIGHT * (latency - self.baseline_latency)
         else:
             self.baseline_latency = latency
 
     def rate_per_endpoint(self, endpoints_per_gateway: float) -> float:
-        """Returns the minimum rate that an endpoint outside slow start serves, in requests per second.
+        """Return the minimum rate that an endpoint outside slow start serves, in requests per second.
 
         An endpoint serves at least one request at a time, and about the fleet's rate per endpoint. The
         baseline latency excludes queueing; otherwise longer queues at other endpoints would reduce the rate
@@ -58,7 +58,7 @@
 
 
 def _longest_latency(classes: Sequence[RequestClass]) -> int:
-    """Returns the longest time that a request takes outside slow start, by the settings of the classes.
+    """Return the longest time that a request takes outside slow start, by the settings of the classes.
 
     It is the latency objective, or the deadline where the objective grows with the cost hint or the class
     streams.
--- a/balancer/traffic_class.py
+++ b/balancer/traffic_class.py
@@ -60,13 +60,13 @@
         self.last_sent_at = 0
 
     def copy_statistics_from(self, other: TrafficClass) -> None:
-        """Copies the latency statistics of the same class under other settings."""
+        """Copy the latency statistics of the same class under other settings."""
         self.mean, self.deviation, self.baseline = other.mean, other.deviation, other.baseline
         self.mean_units, self.baseline_units = other.mean_units, other.baseline_units
         self.last_sent_at = other.last_sent_at
 
     def record_latency(self, sample: float, units: int, other_in_flight: int, is_congested: bool) -> None:
-        """Records the latency per unit of a response.
+        """Record the latency per unit of a response.
 
         The mean is total time over total units. A mean of per-unit latencies would be dominated by small
         hints: a request with a thousandth of the typical hint that waited in a queue would raise the baseline
