--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -110,7 +110,7 @@
         self.tenants.update(changes, self.settings.replicas, now)
 
     def _carry_over_classes(self, settings: Settings) -> list[TrafficClass]:
-        """The classes of new settings, with the statistics of the old classes of the same names."""
+        """Return the classes of new settings, with the statistics of the old classes of the same names."""
         old_classes = {
             (item.name, item.idempotency): traffic_class
             for item, traffic_class in zip(self.settings.classes, self.classes, strict=True)
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -106,7 +106,7 @@
             self._watch()
 
     def _next_backoff(self, now: int) -> float:
-        """The maximum delay before the next call, in ns.
+        """Return the maximum delay before the next call, in ns.
 
         Unless it is below `REWATCH_SPREAD_NS`, it ends `CALL_QUEUEING_NS` before changes that discovery may
         have by now count as notified: the longer a call took to fail, the sooner the next one follows.
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -89,11 +89,11 @@
         self.remote_pool.endpoints = self._subset(self.ready_remote)
 
     def pool_of(self, endpoint: Endpoint) -> EndpointPool:
-        """The pool that an endpoint belongs to by its zone."""
+        """Return the pool that an endpoint belongs to by its zone."""
         return self.local_pool if endpoint.zone == self._zone else self.remote_pool
 
     def pools(self) -> tuple[EndpointPool, EndpointPool]:
-        """The pools of the own zone and of the other zones."""
+        """Return the pools of the own zone and of the other zones."""
         return self.local_pool, self.remote_pool
 
     def _rebuild(self) -> None:
@@ -124,7 +124,7 @@
             _remove_in_order(self.ready_remote, endpoint)
 
     def _subset(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """The arc of the ring from which this gateway selects.
+        """Return the arc of the ring from which this gateway selects.
 
         With fewer endpoints, its own attempts in flight say more about the load of each.
         """
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -77,7 +77,10 @@
         self.is_done = False
 
     def expected_latency(self, deviations: float) -> float:
-        """Expected latency in ns: class mean plus these deviations, times cost; 0 before any response."""
+        """Return the expected latency in ns; 0 before any response.
+
+        It is the class mean plus these deviations, times cost.
+        """
         traffic_class = self.traffic_class
         return (traffic_class.mean + deviations * traffic_class.deviation) * (self.cost_hint_ns or 1)
 
--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -45,7 +45,7 @@
         """Monotonic time at which discovery had last published everything it knew."""
 
     def __len__(self) -> int:
-        """Number of stored starts."""
+        """Return the number of stored starts."""
         return len(self._starts)
 
     def mark_up_to_date(self, now_ns: int) -> None:
--- a/balancer/wait_queue.py
+++ b/balancer/wait_queue.py
@@ -37,7 +37,7 @@
             heapify(self._heap)
 
     def peek(self) -> Request | None:
-        """The request with the highest priority, which stays in the queue; None if the queue is empty."""
+        """Return the request with the highest priority, which stays in the queue; None if it is empty."""
         while self._heap:
             request = self._heap[0][2]
             if request.is_queued:
--- a/gateway/client/read_control.py
+++ b/gateway/client/read_control.py
@@ -30,7 +30,7 @@
         self._unread_since_ns = earliest_connect_ns if earliest_connect_ns < now else 0
 
     def earliest_arrival(self, size_bytes: int, now: int) -> int:
-        """The earliest time, ns, at which a read of `size_bytes` at `now` may have arrived."""
+        """Return the earliest time, ns, at which a read of `size_bytes` at `now` may have arrived."""
         earliest_ns = self._unread_since_ns or now
         if size_bytes < FULL_READ_BYTES:
             self._unread_since_ns = 0
--- a/gateway/client/validation.py
+++ b/gateway/client/validation.py
@@ -86,13 +86,16 @@
 
 
 def _path_class_name(target: bytes) -> bytes | None:
-    """The first path segment, which names the request class; None if the target is not a path."""
+    """Return the first path segment, which names the request class; None if the target is not a path."""
     segments = target.split(b"?", 1)[0].split(b"/", 2)
     return segments[1] if len(segments) > 1 and not segments[0] else None
 
 
 def _checked_headers(headers: list[Header]) -> dict[bytes, bytes]:
-    """The checked headers by lower-case name; raises InvalidRequestError if one has different values."""
+    """Return the checked headers by lower-case name.
+
+    Raises InvalidRequestError if one has different values.
+    """
     checked: dict[bytes, bytes] = {}
     for name, value in headers:
         lower_name = name.lower()
@@ -111,7 +114,7 @@
 
 
 def _validated_request_id(checked: dict[bytes, bytes]) -> bytes:
-    """The X-Request-ID; raises InvalidRequestError if it is missing or unusable."""
+    """Return the X-Request-ID; raises InvalidRequestError if it is missing or unusable."""
     request_id = checked.get(b"x-request-id", b"")
     if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES or not request_id.isascii():
         raise InvalidRequestError(400, "no usable id")
@@ -119,7 +122,7 @@
 
 
 def _parse_routing_key(text: bytes) -> int:
-    """The routing key as a number: the low 64 bits of a hexadecimal value, else a hash; 0 if missing."""
+    """Return the routing key as a number: low 64 bits of a hexadecimal value, else a hash; 0 if missing."""
     if not text:
         return 0
     try:
@@ -129,12 +132,15 @@
 
 
 def _parse_number(text: bytes) -> int:
-    """A decimal number of at most `MAX_NUMBER_DIGITS` digits; 0 for anything else."""
+    """Return a decimal number of at most `MAX_NUMBER_DIGITS` digits; 0 for anything else."""
     return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else 0
 
 
 def _dropped_headers(headers: list[Header]) -> frozenset[bytes]:
-    """The headers that are not forwarded, including those that `Connection` headers name; in lower case."""
+    """Return the headers that are not forwarded, in lower case.
+
+    They include those that `Connection` headers name.
+    """
     options = [value for name, value in headers if name.lower() == b"connection"]
     if not options:
         return DEFAULT_DROPPED_HEADERS
--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -138,7 +138,7 @@
         return [name for name, value in self.fixed_values().items() if current_values[name] != value]
 
     def fixed_values(self) -> dict[str, object]:
-        """The values that cannot change while a gateway runs, by their name in the file."""
+        """Return the values that cannot change while a gateway runs, by their name in the file."""
         settings = self.settings
         return {
             "listen": self.listen_address,
--- a/gateway/discovery/backoff.py
+++ b/gateway/discovery/backoff.py
@@ -17,7 +17,10 @@
 
 
 def jittered_ns(wait_s: float) -> int:
-    """A random wait of 0.5 to 1.5 times `wait_s`, ns, so that gateways don't repeat failed calls in sync."""
+    """Return a random wait of 0.5 to 1.5 times `wait_s`, ns.
+
+    It is random so that gateways don't repeat failed calls in sync.
+    """
     return int(wait_s * (0.5 + random.random()) * SECOND)
 
 
@@ -29,7 +32,7 @@
         self._wait_s = FIRST_WAIT_S
 
     def next_wait_ns(self) -> int:
-        """The time to wait before the next call, ns; doubles the following wait, up to the maximum."""
+        """Return the time to wait before the next call, ns; doubles the following wait, up to the maximum."""
         wait_ns = jittered_ns(min(self._wait_s, self._max_wait_s))
         self._wait_s = min(2 * self._wait_s, MAX_WAIT_S)
         return wait_ns
--- a/gateway/discovery/endpoint_list_parser.py
+++ b/gateway/discovery/endpoint_list_parser.py
@@ -35,7 +35,7 @@
     """IP address or host name, and port."""
 
     def with_start_time(self, started_ns: int) -> ListedEndpoint:
-        """A copy with this start time, monotonic ns; 0 means that the start was long ago."""
+        """Return a copy with this start time, monotonic ns; 0 means that the start was long ago."""
         if not started_ns:
             return self
         return ListedEndpoint(self.entry._replace(started_ns=started_ns), self.address)
@@ -95,7 +95,7 @@
         ]
 
     def _parse_instance(self, instance: dict[str, Any]) -> tuple[ListedEndpoint, int]:
-        """The endpoint without its start time, and the start time as Unix time in ms, 0 if there is none.
+        """Return the endpoint without its start time, and the start time as Unix time in ms, 0 if none.
 
         Raises one of `_INVALID_FIELD_ERRORS`.
         """
--- a/gateway/load_report.py
+++ b/gateway/load_report.py
@@ -22,7 +22,7 @@
         self.columns = list(zip(columns, field_names, strict=False))
 
     def parse(self, text: bytes) -> tuple[float, ...]:
-        """The values in the order of the columns; empty if the report is missing or invalid."""
+        """Return the values in the order of the columns; empty if the report is missing or invalid."""
         if not self.columns or not text:
             return ()
         try:
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -92,7 +92,7 @@
 
 
 def field_value(text: bytes | None) -> bytes:
-    """The header value without surrounding white space (RFC 9110, 5.5), which httptools may leave.
+    """Return the header value without surrounding white space (RFC 9110, 5.5), which httptools may leave.
 
     A missing value is treated as empty.
     """
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -54,7 +54,7 @@
 
     @classmethod
     def for_settings(cls, settings: Settings) -> ShutdownSchedule:
-        """The schedule for the deadlines of the request classes."""
+        """Return the schedule for the deadlines of the request classes."""
         overdue_ns = min(
             MAX_SHUTDOWN_TIME_NS,
             max(request_class.deadline_ns for request_class in settings.classes) + DEADLINE_MARGIN_NS,
@@ -63,7 +63,7 @@
         return cls(draining_ns, overdue_ns)
 
     def phase_at(self, elapsed_ns: int) -> ShutdownPhase:
-        """The phase at this time after SIGTERM, once new connections are no longer accepted."""
+        """Return the phase at this time after SIGTERM, once new connections are no longer accepted."""
         if elapsed_ns > self.overdue_ns:
             return ShutdownPhase.OVERDUE
         return ShutdownPhase.DRAINING if elapsed_ns >= self.draining_ns else ShutdownPhase.SERVING
--- a/gateway/tenant_table.py
+++ b/gateway/tenant_table.py
@@ -205,7 +205,7 @@
             self._added.append((self._row_slots[position], tenant))
 
     def difference(self) -> TenantDifference:
-        """The computed difference."""
+        """Return the computed difference."""
         return TenantDifference(
             self._row_hashes, self._row_slots, self._removed, self._changed, self._added, self._free_slots
         )
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -58,7 +58,7 @@
         self.load_report = b""  # unparsed, as received from the endpoint; empty if it sent none
 
     def serialize(self, now_ns: int) -> bytes:
-        """The serialized request; its X-Timeout-Ms is the time left until the deadline."""
+        """Return the serialized request; its X-Timeout-Ms is the time left until the deadline."""
         head, body = self.payload
         return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.deadline_ns - now_ns) // MS), body)
 
--- a/gateway/upstream/response_outcome.py
+++ b/gateway/upstream/response_outcome.py
@@ -19,7 +19,10 @@
 
 
 def classify_response(response: Response) -> Outcome:
-    """The outcome that the protocol assigns to a response; after ERROR the request may have been executed."""
+    """Return the outcome that the protocol assigns to a response.
+
+    After ERROR the request may have been executed.
+    """
     if response.status == STATUS_OK:
         return Outcome.OK
     if response.status in OVERLOAD_STATUSES:
@@ -30,5 +33,5 @@
 
 
 def extract_load_report(response: Response) -> bytes:
-    """The unparsed value of the load report header; empty if the response has none."""
+    """Return the unparsed value of the load report header; empty if the response has none."""
     return next((value for name, value in response.headers if name.lower() == LOAD_REPORT_HEADER), b"")
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -139,7 +139,7 @@
         return True
 
     def response(self) -> Response:
-        """The complete response."""
+        """Return the complete response."""
         return Response(self._final_status, self._headers, bytes(self._body))
 
     def release(self) -> None:
