--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -110,7 +110,7 @@
         self.tenants.update(changes, self.settings.replicas, now)
 
     def _carry_over_classes(self, settings: Settings) -> list[TrafficClass]:
-        """The classes of new settings, with the statistics of the old classes of the same names."""
+        """Return the classes of new settings, with the statistics of the old classes of the same names."""
         old_classes = {
             (item.name, item.idempotency): traffic_class
             for item, traffic_class in zip(self.settings.classes, self.classes, strict=True)
@@ -123,7 +123,7 @@
                 raise ValueError(f"the idempotency of class {item.name!r} can't change")
             traffic_class = TrafficClass(item)
             if old_class is not None:
-                traffic_class.learn_from(old_class)
+                traffic_class.copy_statistics_from(old_class)
             classes.append(traffic_class)
         return classes
 
@@ -162,7 +162,7 @@
     def _apply_endpoint_list(self, now: int) -> None:
         """Adjust limits and attempts to the indexed endpoints, and send queued requests."""
         for pool in self.endpoints.pools():
-            self.limit.follow_endpoint_list(pool, now)
+            self.limit.rescale(pool, now)
         self.lifecycle.release_unavailable()
         self.lifecycle.dispatch_queued(now)
 
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import Endpoint, EndpointPool
 from .endpoint_index import EndpointIndex
 from .load_shedding import TARGET_DELAY_T1
@@ -62,7 +62,8 @@
             adjustment = -MAX_DECREASE_STEPS * _rejection_share(pool)
         else:
             adjustment = max(
-                -MAX_DECREASE_STEPS, 1.0 - pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+                -MAX_DECREASE_STEPS,
+                1.0 - pool.current_delay(REFERENCE_T1_NS, now) / (TARGET_DELAY_T1 * REFERENCE_T1_NS),
             )
         used, limit = self._usage_and_limit(pool, t1, now)
         if adjustment >= 0 and used + 1 < MIN_USED_SHARE * limit:
@@ -75,7 +76,7 @@
         floor = MIN_LIMIT if was_rejected else min(pool.limit, self._fair_share_floor())
         pool.limit = max(floor, pool.limit + step)
 
-    def follow_endpoint_list(self, pool: EndpointPool, now: int) -> None:
+    def rescale(self, pool: EndpointPool, now: int) -> None:
         """Scales the limit to the endpoints that the pool has now.
 
         Without it, a few remaining endpoints with the limit of many would be overloaded before the delay
@@ -84,17 +85,17 @@
         starting together would overload the fleet with one request each.
         """
         if pool.endpoints and not pool.limit:
-            fair_share = self._endpoints.per_gateway
+            fair_share = self._endpoints.endpoints_per_gateway
             pool.limit = max(
                 MIN_LIMIT, INITIAL_LIMIT_PER_ENDPOINT * max(fair_share, min(2 * fair_share, 1.0))
             )
         size = sum(self._slow_start.current_capacity_share(endpoint, now) for endpoint in pool.endpoints)
-        if size and pool.warm_size:
-            pool.limit = max(MIN_LIMIT, pool.limit * size / pool.warm_size)
-        pool.warm_size = size or pool.warm_size
+        if size and pool.effective_size:
+            pool.limit = max(MIN_LIMIT, pool.limit * size / pool.effective_size)
+        pool.effective_size = size or pool.effective_size
 
     def _usage_and_limit(self, pool: EndpointPool, t1: int, now: int) -> tuple[int, float]:
-        """Returns the attempts in flight at endpoints that are not ejected, and the limit for these.
+        """Return the attempts in flight at endpoints that are not ejected, and the limit for these.
 
         The limit shrinks by the share of the ejected endpoints. Otherwise the last endpoint left would get
         the capacity of all, become overloaded and be ejected too.
@@ -110,11 +111,11 @@
             # This loop runs for every request. Few endpoints have failures, so the cheap check comes first.
             if endpoint.failure_share > MAX_FAILURE_SHARE and is_ejected(endpoint, t1, now):
                 ejected_size += share
-                used -= endpoint.in_flight - endpoint.discounted
+                used -= endpoint.in_flight - endpoint.released_in_flight
         return used, pool.limit * (size - ejected_size) / (size or 1.0)
 
     def _fair_share_floor(self) -> float:
-        return max(MIN_LIMIT, MIN_FAIR_SHARE * self._endpoints.per_gateway)
+        return max(MIN_LIMIT, MIN_FAIR_SHARE * self._endpoints.endpoints_per_gateway)
 
     def _should_grow_fast(self, pool: EndpointPool, endpoint: Endpoint, adjustment: float) -> bool:
         """Whether requests wait while endpoints other than the one that just responded are idle.
@@ -131,7 +132,7 @@
 
 
 def _rejection_share(pool: EndpointPool) -> float:
-    """Returns the share of the pool's endpoints whose last attempt was rejected.
+    """Return the share of the pool's endpoints whose last attempt was rejected.
 
     The rejection by one endpoint says little about the others.
     """
--- a/balancer/delay_estimate.py
+++ b/balancer/delay_estimate.py
@@ -12,9 +12,9 @@
 
 from .units import SECOND
 
-__all__ = ["PAPER_T1", "Q_MIN", "DelayEstimate"]
+__all__ = ["Q_MIN", "REFERENCE_T1_NS", "DelayEstimate"]
 
-PAPER_T1 = SECOND // 2
+REFERENCE_T1_NS = SECOND // 2
 """The paper's T1 in ns: the unit of a pool's delay, and the minimum T1 used in the decay of a delay."""
 Q_MIN = 0.2
 """Delay, in T1, below which every retry passes (the paper's q_min)."""
@@ -60,12 +60,12 @@
         """Smoothed share of failures among the outcomes."""
 
     def current_delay(self, t1: int, now: int) -> float:
-        """Returns the delay in ns at `now`, after decay, for a request with this T1."""
+        """Return the delay in ns at `now`, after decay, for a request with this T1."""
         if not self.smoothed_delay:
             return 0.0
         # The decay takes at least the paper's T1. With a shorter one, requests would consider an endpoint
         # recovered that still fails for others.
-        t1 = max(t1, PAPER_T1)
+        t1 = max(t1, REFERENCE_T1_NS)
         doublings = min(self.failure_streak, MAX_HOLD_DOUBLINGS)
         decaying_ns = now - self.updated_at - HOLD_TIME_T1 * t1 * (1 << doublings)
         return (
@@ -75,7 +75,7 @@
         )
 
     def observe(self, delay: float, t1: int, now: int, failed_attempt_sent_at: int | None) -> None:
-        """Adds an observation: a queueing delay in ns.
+        """Add an observation: a queueing delay in ns.
 
         `failed_attempt_sent_at` is the time at which a failed attempt was sent, or None if the attempt
         succeeded. Attempts that are in flight together tend to fail together, so they count as one failure of
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -8,9 +8,9 @@
 from .delay_estimate import DelayEstimate
 from .endpoint_list import EndpointEntry, EndpointState
 
-__all__ = ["UNREPORTED_IN_FLIGHT", "Endpoint", "EndpointPool", "IndexKey"]
+__all__ = ["ASSUMED_IN_FLIGHT", "Endpoint", "EndpointPool", "IndexKey"]
 
-UNREPORTED_IN_FLIGHT = 3.0
+ASSUMED_IN_FLIGHT = 3.0
 """Requests in flight assumed for an endpoint before its first load report."""
 
 
@@ -28,7 +28,6 @@
         "broken_streak",
         "cell",
         "credit_updated_at",
-        "discounted",
         "endpoint_id",
         "in_flight",
         "index_key",
@@ -36,6 +35,7 @@
         "mean_latency",
         "mean_reported_in_flight",
         "relative_latency",
+        "released_in_flight",
         "reported_in_flight",
         "ring_position",
         "slow_start_credit",
@@ -62,7 +62,7 @@
         """Time of its last start; 0 if that is long past."""
         self.in_flight = 0
         """This gateway's attempts in flight at it."""
-        self.discounted = 0
+        self.released_in_flight = 0
         """Attempts in flight at it that no longer count against the pool's capacity."""
 
     def clear(self) -> None:
@@ -73,7 +73,7 @@
         self.mean_latency = 0.0
         """Smoothed latency of responses with a load report, in ns."""
         self.mean_reported_in_flight = 0.0
-        self.reported_in_flight = UNREPORTED_IN_FLIGHT
+        self.reported_in_flight = ASSUMED_IN_FLIGHT
         """Requests in flight for all gateways, from its last load report."""
         self.broken_streak = 0
         """Consecutive attempts that ended with a broken connection or an invalid response."""
@@ -88,15 +88,15 @@
 class EndpointPool(DelayEstimate):
     """The endpoints of the own zone, or of the other zones, from which this gateway selects.
 
-    The delay estimate is in units of `PAPER_T1`.
+    The delay estimate is in units of `REFERENCE_T1_NS`.
     """
 
-    __slots__ = ("endpoints", "in_flight", "limit", "warm_size")
+    __slots__ = ("effective_size", "endpoints", "in_flight", "limit")
 
     def __init__(self) -> None:
         super().__init__()
         self.endpoints: list[Endpoint] = []
-        self.warm_size = 0.0
+        self.effective_size = 0.0
         """Endpoints for which the limit is sized; one in slow start counts with its capacity share."""
         self.in_flight = 0
         """Attempts in flight that count against the limit; those at endpoints not ready are left out."""
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -43,7 +43,7 @@
         self.ready_by_cell: dict[int, list[Endpoint]] = {}
         self.local_pool = EndpointPool()
         self.remote_pool = EndpointPool()
-        self.per_gateway = 1.0
+        self.endpoints_per_gateway = 1.0
         """Number of ready endpoints per gateway."""
 
     def apply_settings(self, settings: Settings) -> None:
@@ -84,16 +84,16 @@
         else:
             self._rebuild()
         local = self.ready_by_zone[self._zone]
-        self.per_gateway = (len(local) + len(self.ready_remote)) / self._replicas
+        self.endpoints_per_gateway = (len(local) + len(self.ready_remote)) / self._replicas
         self.local_pool.endpoints = self._subset(local)
         self.remote_pool.endpoints = self._subset(self.ready_remote)
 
     def pool_of(self, endpoint: Endpoint) -> EndpointPool:
-        """The pool that an endpoint belongs to by its zone."""
+        """Return the pool that an endpoint belongs to by its zone."""
         return self.local_pool if endpoint.zone == self._zone else self.remote_pool
 
     def pools(self) -> tuple[EndpointPool, EndpointPool]:
-        """The pools of the own zone and of the other zones."""
+        """Return the pools of the own zone and of the other zones."""
         return self.local_pool, self.remote_pool
 
     def _rebuild(self) -> None:
@@ -124,11 +124,11 @@
             _remove_in_order(self.ready_remote, endpoint)
 
     def _subset(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        """The arc of the ring from which this gateway selects.
+        """Return the arc of the ring from which this gateway selects.
 
         With fewer endpoints, its own attempts in flight say more about the load of each.
         """
-        size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.per_gateway))
+        size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.endpoints_per_gateway))
         if size >= len(endpoints):
             return list(endpoints)
         start = int((self._instance_number * GOLDEN_RATIO) % 1.0 * len(endpoints))
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 
 from .concurrency_limit import ConcurrencyLimit
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import Endpoint
 from .endpoint_index import EndpointIndex
 from .load_shedding import LoadShedder
@@ -47,8 +47,8 @@
         self._load_shedder = load_shedder
         self._random = random
 
-    def for_original(self, request: Request, now: int) -> Endpoint | None:
-        """Selects an endpoint for a first attempt; None if no pool has one with free capacity."""
+    def select_for_first_attempt(self, request: Request, now: int) -> Endpoint | None:
+        """Select an endpoint for a first attempt; None if no pool has one with free capacity."""
         local, remote = self._endpoints.local_pool, self._endpoints.remote_pool
         for pool in (remote, local) if self.should_spill_over(now) else (local, remote):
             if request.is_over_quota:
@@ -67,7 +67,7 @@
     def pick_less_loaded(
         self, request: Request, candidates: Sequence[Endpoint], now: int, max_draws: int
     ) -> Endpoint | None:
-        """Returns the less loaded of two random endpoints.
+        """Return the less loaded of two random endpoints.
 
         At most `max_draws` pairs are drawn, until the best endpoint so far is idle and not ejected. Returns
         None if no drawn endpoint may receive the request.
@@ -93,9 +93,9 @@
         The condition in the settings, a delay of T1 at every candidate, would apply too late: with few
         responses per endpoint, no single estimate reaches T1 until long after the zone is overloaded.
         """
-        local = self._endpoints.local_pool.current_delay(PAPER_T1, now)
-        remote = self._endpoints.remote_pool.current_delay(PAPER_T1, now)
-        threshold = (MIN_SPILLOVER_EXCESS_T1 + self._random() * SPILLOVER_RANGE_T1) * PAPER_T1
+        local = self._endpoints.local_pool.current_delay(REFERENCE_T1_NS, now)
+        remote = self._endpoints.remote_pool.current_delay(REFERENCE_T1_NS, now)
+        threshold = (MIN_SPILLOVER_EXCESS_T1 + self._random() * SPILLOVER_RANGE_T1) * REFERENCE_T1_NS
         return threshold < local - max(0.0, remote)
 
     def _draw_pair(self, candidates: Sequence[Endpoint]) -> tuple[Endpoint, Endpoint]:
@@ -111,7 +111,7 @@
 
 
 def _relative_load(endpoint: Endpoint) -> float:
-    """Returns the endpoint's load: its attempts in flight, scaled by relative latency and divided by weight.
+    """Return the endpoint's load: its attempts in flight, scaled by relative latency and divided by weight.
 
     The next attempt is included, so that of two idle endpoints the faster one has the lower load. A large
     endpoint whose weight gives it too many requests gets fewer as its latency rises.
--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .concurrency_limit import ConcurrencyLimit
-from .delay_estimate import PAPER_T1, Q_MIN
+from .delay_estimate import Q_MIN, REFERENCE_T1_NS
 from .endpoint import Endpoint
 from .endpoint_index import EndpointIndex
 from .interface import AttemptResult
@@ -43,7 +43,7 @@
         self._load_reports = load_reports
 
     def record_outcome(self, attempt: Attempt, result: AttemptResult, now: int) -> Outcome:
-        """Records how an attempt ended and returns the outcome that it counts as."""
+        """Record how an attempt ended and return the outcome that it counts as."""
         request, endpoint = attempt.request, attempt.endpoint
         outcome = result.outcome
         if outcome is Outcome.CANCELLED and result.elapsed_ns >= _silence_timeout(request):
@@ -55,22 +55,22 @@
         if outcome is Outcome.OK:
             self._throughput.count_response(now)
             self._record_success(request, endpoint, result, now)
-            baseline_latency = request.traffic_class.usual * (request.cost_hint or 1)
+            baseline_latency = request.traffic_class.baseline * (request.cost_hint_ns or 1)
             self._throughput.record_baseline_latency(baseline_latency)
         elif counts_as_failure(outcome, endpoint) and not attempt.is_overdue:
             self._record_failure(request, endpoint, outcome, result.elapsed_ns, now)
         return outcome
 
     def record_overdue(self, request: Request, endpoint: Endpoint, now: int) -> None:
-        """Records an attempt without a timeout, in flight for T1: its endpoint may not be responding."""
+        """Record an attempt without a timeout, in flight for T1: its endpoint may not be responding."""
         endpoint.observe(request.t1, request.t1, now, now - request.t1)
 
     def _record_success(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> None:
-        """Records a successful response."""
+        """Record a successful response."""
         traffic_class = request.traffic_class
-        units = request.cost_hint or 1
+        units = request.cost_hint_ns or 1
         sample = result.elapsed_ns / units
-        is_congested = sample > traffic_class.usual and self._is_slowdown_expected(endpoint, now)
+        is_congested = sample > traffic_class.baseline and self._is_slowdown_expected(endpoint, now)
         traffic_class.record_latency(sample, units, endpoint.in_flight, is_congested)
         ratio = min(sample / traffic_class.mean, MAX_LATENCY_RATIO)
         endpoint.relative_latency += ENDPOINT_SMOOTHING_WEIGHT * (ratio - endpoint.relative_latency)
@@ -80,7 +80,7 @@
     def _record_failure(
         self, request: Request, endpoint: Endpoint, outcome: Outcome, elapsed_ns: int, now: int
     ) -> None:
-        """Records a failure that counts against the endpoint."""
+        """Record a failure that counts against the endpoint."""
         if outcome is Outcome.TIMEOUT:
             delay = float(elapsed_ns)  # an attempt with less time than T1 shows no more than this
         elif outcome is Outcome.ERROR or outcome in BROKEN_OUTCOMES:
@@ -94,10 +94,10 @@
         """Whether slow start or congestion explains a slow response, which must not set the baseline."""
         if endpoint.slow_start_until > now:
             return True
-        return self._endpoints.pool_of(endpoint).current_delay(PAPER_T1, now) > Q_MIN * PAPER_T1
+        return self._endpoints.pool_of(endpoint).current_delay(REFERENCE_T1_NS, now) > Q_MIN * REFERENCE_T1_NS
 
     def _queueing_delay(self, request: Request, endpoint: Endpoint, result: AttemptResult, now: int) -> float:
-        """Returns the queueing delay that a response indicates, in ns.
+        """Return the queueing delay that a response indicates, in ns.
 
         It is negative for a response that is faster than the baseline. The work of requests varies as much as
         the delay does, so negative values are needed for a mean around zero where there is no delay.
@@ -113,10 +113,10 @@
         return (reported + measured) / 2
 
     def _measured_delay(self, request: Request, endpoint: Endpoint, elapsed_ns: int, now: int) -> float:
-        """Returns how much longer a response took than the baseline, in ns."""
-        units = request.cost_hint or 1
+        """Return how much longer a response took than the baseline, in ns."""
+        units = request.cost_hint_ns or 1
         sample = elapsed_ns / units
-        baseline = request.traffic_class.usual
+        baseline = request.traffic_class.baseline
         delay = (sample - baseline) * units
         if delay > 0 and endpoint.slow_start_until > now:
             # Latency that the minimum capacity in slow start explains does not count as queueing.
@@ -132,19 +132,19 @@
         failed_attempt_sent_at: int | None = None,
         was_rejected: bool = False,
     ) -> None:
-        """Records a delay at an endpoint and its pool, and adapts the pool's limit."""
+        """Record a delay at an endpoint and its pool, and adapt the pool's limit."""
         endpoint.last_was_rejection = was_rejected or (
             failed_attempt_sent_at is not None and endpoint.last_was_rejection
         )
         endpoint.observe(delay, t1, now, failed_attempt_sent_at)
         pool = self._endpoints.pool_of(endpoint)
-        pool_delay = max(-MAX_POOL_DELAY_T1, min(delay / t1, MAX_POOL_DELAY_T1)) * PAPER_T1
-        pool.observe(pool_delay, PAPER_T1, now, failed_attempt_sent_at)
+        pool_delay = max(-MAX_POOL_DELAY_T1, min(delay / t1, MAX_POOL_DELAY_T1)) * REFERENCE_T1_NS
+        pool.observe(pool_delay, REFERENCE_T1_NS, now, failed_attempt_sent_at)
         self._limit.adapt(pool, endpoint, was_rejected, t1, now)
 
 
 def _silence_timeout(request: Request) -> float:
-    """Returns the time in ns after which a cancelled attempt without a response counts as a timeout."""
+    """Return the time in ns after which a cancelled attempt without a response counts as a timeout."""
     if not request.traffic_class.mean:
         return request.t1
     return min(request.t1, request.expected_latency(T1_LATENCY_DEVIATIONS))
--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .delay_estimate import PAPER_T1
+from .delay_estimate import REFERENCE_T1_NS
 from .endpoint import EndpointPool
 from .request import Request
 from .traffic_class import LATENCY_WEIGHT
@@ -30,16 +30,16 @@
         """Smoothed share of the requests within quota that miss their objective."""
 
     def record(self, request: Request, missed: bool) -> None:
-        """Records whether a finished request missed its objective; requests over quota do not count."""
+        """Record whether a finished request missed its objective; requests over quota do not count."""
         if not request.is_over_quota:
             self.missed_share += LATENCY_WEIGHT * (missed - self.missed_share)
 
     def shed_probability(self) -> float:
-        """Returns the probability of shedding an eligible request: 0 while few objectives are missed."""
+        """Return the probability of shedding an eligible request: 0 while few objectives are missed."""
         share = (self.missed_share - SHEDDING_START_SHARE) / (FULL_SHEDDING_SHARE - SHEDDING_START_SHARE)
         return min(max(share, 0.0), 1.0)
 
-    def is_hopeless(self, request: Request, now: int) -> bool:
+    def should_shed(self, request: Request, now: int) -> bool:
         """Decides whether to shed a request whose remaining time is shorter than even a fast response takes.
 
         Its work would be wasted and would delay other requests. A fast response is one deviation below the
@@ -56,9 +56,9 @@
         return min(request.deadline, objective_at) - now < request.expected_latency(-1.0)
 
     def over_quota_admit_probability(self, pool: EndpointPool, now: int) -> float:
-        """Returns the probability of admitting a request over its quota.
+        """Return the probability of admitting a request over its quota.
 
         It falls with the delay of the pool, and as requests within quota miss their objective.
         """
-        congestion = pool.current_delay(PAPER_T1, now) / (TARGET_DELAY_T1 * PAPER_T1)
+        congestion = pool.current_delay(REFERENCE_T1_NS, now) / (TARGET_DELAY_T1 * REFERENCE_T1_NS)
         return min(1.0 - self.shed_probability(), 1.0 - congestion)
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -70,11 +70,11 @@
         self.dispatch_queued(now)
         # Ensures a response before the deadline even if no other event ends the request.
         self._timers.set(request, request.deadline - now - self._settings.tick_ns)
-        if self._load_shedder.is_hopeless(request, now):
+        if self._load_shedder.should_shed(request, now):
             self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
             return
         # Queued requests come first: a new one is not sent while others wait.
-        endpoint = None if len(self._wait_queue) else self._selector.for_original(request, now)
+        endpoint = None if len(self._wait_queue) else self._selector.select_for_first_attempt(request, now)
         if endpoint is not None:
             self._send(request, endpoint, now)
         elif request.is_over_quota:
@@ -85,11 +85,11 @@
     def dispatch_queued(self, now: int) -> None:
         """Send queued requests while there is capacity."""
         while (request := self._wait_queue.peek()) is not None:
-            if self._load_shedder.is_hopeless(request, now):
+            if self._load_shedder.should_shed(request, now):
                 self._wait_queue.discard(request)
                 self._fail_or_reject(request, EndReason.INSUFFICIENT_TIME)
                 continue
-            endpoint = self._selector.for_original(request, now)
+            endpoint = self._selector.select_for_first_attempt(request, now)
             if endpoint is None:
                 return
             self._wait_queue.discard(request)
@@ -107,7 +107,7 @@
         traffic_class = request.traffic_class
         if self._settings.weight_by_work:
             return traffic_class.priority_weight
-        work = max(traffic_class.usual * (request.cost_hint or 1), 1.0)
+        work = max(traffic_class.baseline * (request.cost_hint_ns or 1), 1.0)
         return traffic_class.priority_weight * SECOND / work
 
     # ---- Attempts --------------------------------------------------------------------------------
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from .endpoint import UNREPORTED_IN_FLIGHT, Endpoint
+from .endpoint import ASSUMED_IN_FLIGHT, Endpoint
 from .endpoint_index import EndpointIndex
 from .settings import Settings
 from .throughput import Throughput
@@ -17,7 +17,7 @@
 IDLE_RATE_FACTOR = 2.0
 """Factor on the used budget for an endpoint that reports that it is idle.
 
-An endpoint that reports `UNREPORTED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
+An endpoint that reports `ASSUMED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
 lower one.
 """
 MIN_RATE_FACTOR = 0.25
@@ -47,7 +47,7 @@
         self._overload_factor = settings.rules.overload_factor
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies new settings, also to endpoints that are already in slow start."""
+        """Apply new settings, also to endpoints that are already in slow start."""
         self._replicas = settings.replicas
         self._window_ns = settings.rules.slow_start_window_ns
         self._initial_share = settings.rules.slow_start_initial_share
@@ -57,7 +57,7 @@
                 endpoint.slow_start_until = endpoint.started_at + self._window_ns
 
     def begin(self, endpoint: Endpoint, started_at: int, now: int) -> None:
-        """Starts slow start for an endpoint.
+        """Start slow start for an endpoint.
 
         The initial credit is random, so that the gateways that draw from the endpoint do not all send at
         once, and so that a rate below one attempt per second is met on average.
@@ -69,12 +69,12 @@
         endpoint.slow_start_credit = self._random()
 
     def capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """Returns the minimum share of its capacity that an endpoint in slow start has."""
+        """Return the minimum share of its capacity that an endpoint in slow start has."""
         elapsed_share = max(0, now - endpoint.started_at) / self._window_ns
         return min(1.0, self._initial_share + (1.0 - self._initial_share) * elapsed_share)
 
     def current_capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """Returns the minimum share of its capacity that any endpoint has: 1 outside slow start."""
+        """Return the minimum share of its capacity that any endpoint has: 1 outside slow start."""
         return self.capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
 
     def keeps_candidate(self, endpoint: Endpoint, now: int) -> bool:
@@ -92,9 +92,9 @@
         ready_count = max(1, len(self._endpoints.ready_by_zone[endpoint.zone]))
         pool_size = len(self._endpoints.pool_of(endpoint).endpoints)
         gateway_count = max(1.0, self._replicas * pool_size / ready_count)
-        rate = self._throughput.rate_per_endpoint(self._endpoints.per_gateway)
+        rate = self._throughput.rate_per_endpoint(self._endpoints.endpoints_per_gateway)
         # The load report covers the load from all gateways, of which this one sees only a small part.
-        idle_share = 1.0 - endpoint.reported_in_flight / UNREPORTED_IN_FLIGHT
+        idle_share = 1.0 - endpoint.reported_in_flight / ASSUMED_IN_FLIGHT
         rate_factor = max(MIN_RATE_FACTOR, 1.0 + (IDLE_RATE_FACTOR - 1.0) * idle_share)
         capacity_share = self.capacity_share(endpoint, now)
         credit_per_s = (
--- a/gateway/discovery/endpoint_list_parser.py
+++ b/gateway/discovery/endpoint_list_parser.py
@@ -35,7 +35,7 @@
     """IP address or host name, and port."""
 
     def with_start_time(self, started_ns: int) -> ListedEndpoint:
-        """A copy with this start time, monotonic ns; 0 means that the start was long ago."""
+        """Return a copy with this start time, monotonic ns; 0 means that the start was long ago."""
         if not started_ns:
             return self
         return ListedEndpoint(self.entry._replace(started_ns=started_ns), self.address)
@@ -85,7 +85,7 @@
             if start_time_ms and endpoint.entry.state is not EndpointState.GONE:
                 start_times_ms.append((endpoint.entry.endpoint_id, start_time_ms))
         # All start times of an update are converted together: the latest one is the reference for the others.
-        start_times_ns = self.start_times.place(start_times_ms, now_ns)
+        start_times_ns = self.start_times.to_monotonic(start_times_ms, now_ns)
         started_ns = {
             endpoint_id: start_time_ns
             for (endpoint_id, _), start_time_ns in zip(start_times_ms, start_times_ns, strict=True)
@@ -95,7 +95,7 @@
         ]
 
     def _parse_instance(self, instance: dict[str, Any]) -> tuple[ListedEndpoint, int]:
-        """The endpoint without its start time, and the start time as Unix time in ms, 0 if there is none.
+        """Return the endpoint without its start time, and the start time as Unix time in ms, 0 if none.
 
         Raises one of `_INVALID_FIELD_ERRORS`.
         """
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 __all__ = [
+    "EMPTY_PAYLOAD",
     "HOP_BY_HOP_HEADERS",
     "LOAD_REPORT_HEADER",
-    "MAX_BODY",
-    "NO_PAYLOAD",
+    "MAX_BODY_BYTES",
     "ClientRequest",
     "Header",
     "Payload",
@@ -17,7 +17,7 @@
     "field_value",
 ]
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Maximum length of a message body, bytes."""
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -56,7 +56,7 @@
         return len(self.head) + len(self.body)
 
 
-NO_PAYLOAD = Payload(b"", b"")
+EMPTY_PAYLOAD = Payload(b"", b"")
 """Replaces a payload that is no longer needed, to release its memory."""
 
 
@@ -92,7 +92,7 @@
 
 
 def field_value(text: bytes | None) -> bytes:
-    """The header value without surrounding white space (RFC 9110, 5.5), which httptools may leave.
+    """Return the header value without surrounding white space (RFC 9110, 5.5), which httptools may leave.
 
     A missing value is treated as empty.
     """
--- a/gateway/upstream/attempt.py
+++ b/gateway/upstream/attempt.py
@@ -7,7 +7,7 @@
 
 from balancer import MS, EndpointId, Outcome
 
-from ..messages import NO_PAYLOAD, Payload, Response
+from ..messages import EMPTY_PAYLOAD, Payload, Response
 
 if TYPE_CHECKING:
     from .connection import EndpointConnection
@@ -26,7 +26,7 @@
         "connection",
         "deadline_ns",
         "endpoint_id",
-        "is_over",
+        "is_ended",
         "load_report",
         "may_start",
         "number",
@@ -54,19 +54,19 @@
         self.on_ended = on_ended
         self.may_start = may_start
         self.connection: EndpointConnection | None = None
-        self.is_over = False
+        self.is_ended = False
         self.load_report = b""  # unparsed, as received from the endpoint; empty if it sent none
 
     def serialize(self, now_ns: int) -> bytes:
-        """The serialized request; its X-Timeout-Ms is the time left until the deadline."""
+        """Return the serialized request; its X-Timeout-Ms is the time left until the deadline."""
         head, body = self.payload
         return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.deadline_ns - now_ns) // MS), body)
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """End the attempt and report its outcome; calls after the first have no effect."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.is_ended:
+            self.is_ended = True
             self.connection = None
             # The deadline timer holds the attempt until it expires; the body must not stay in memory so long.
-            self.payload = NO_PAYLOAD
+            self.payload = EMPTY_PAYLOAD
             self.on_ended(self, outcome, response)
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -202,7 +202,7 @@
     caplog.set_level("INFO", "gateway")
     async with running_gateway(tmp_path, monkeypatch, configuration={"version": 7}) as (file, endpoint):
         moved: list[Any] = []
-        monkeypatch.setattr(file.harness.gateway.discovery, "move_to", moved.append)
+        monkeypatch.setattr(file.harness.gateway.discovery, "change_address", moved.append)
         file.write(sections, **settings)
         await file.wait_for(ReloadState.IDLE)
         assert bool(moved) is moves_discovery
@@ -377,6 +377,6 @@
     configuration = run_steps(Configuration.read_in_steps(environ), lambda: steps.append(1))
     assert len(steps) >= 3
     assert configuration.settings.tenants == ()
-    assert len(configuration.rows) == 2
+    assert len(configuration.tenant_rows) == 2
     tenants = Configuration.read(environ).settings.tenants
     assert [tenant.name for tenant in tenants] == ["a", "1"]
