--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -25,7 +25,7 @@
     request,
     wait_until,
 )
-from tests.support.stub_balancers import Sends, Stub
+from tests.support.stub_balancers import Sends, StubBalancer
 
 OVERLOADED = b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 SHORT_OBJECTIVES: dict[str, Any] = {
@@ -134,7 +134,7 @@
         assert (await client.response())[::2] == (200, b"done")
 
 
-class SendsOnTimer(Stub):
+class SendsOnTimer(StubBalancer):
     """Sends the first attempt when the request's timer expires, then one after each non-final outcome."""
 
     def act(self, request_id: int) -> None:
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -25,7 +25,7 @@
     Sends,
     SendsAfterItsResponse,
     SendsTwice,
-    Stub,
+    StubBalancer,
 )
 
 STALL_ALLOWANCE_NS = 900 * MS
@@ -81,11 +81,11 @@
         (Fails, 502, None),
         (Raises, 502, None),
         (RaisesLater, 200, None),
-        (Stub, 502, None),  # never responds, so the gateway does before the client's deadline
+        (StubBalancer, 502, None),  # never responds, so the gateway does before the client's deadline
     ],
 )
 async def test_exactly_one_response_whatever_the_balancer_does(
-    balancer: type[Stub], status: int, retry_after: str | None
+    balancer: type[StubBalancer], status: int, retry_after: str | None
 ) -> None:
     async with GatewayHarness() as harness:
         await harness.begin(FakeEndpoint(), make=balancer)
@@ -130,7 +130,7 @@
         assert balancers[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "NOT_SENT")]
 
 
-class ChecksHealth(Stub):
+class ChecksHealth(StubBalancer):
     """Sends a health check for each request and its result to itself by gossip, which starts the attempt."""
 
     def act(self, request_id: int) -> None:
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -14,14 +14,14 @@
     "Sends",
     "SendsAfterItsResponse",
     "SendsTwice",
-    "Stub",
+    "StubBalancer",
 ]
 
 ENDPOINT = "h0"
 """The endpoint that the stubs send attempts to."""
 
 
-class Stub:
+class StubBalancer:
     """Base class of the stubs: calls `act` for each request, and ignores all events without a method."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:  # noqa: ARG002 - the gateway's
@@ -37,28 +37,28 @@
         """Handle a new request; the base class does nothing."""
 
 
-class Rejects(Stub):
+class Rejects(StubBalancer):
     """Rejects each request, with a Retry-After of 1250 ms."""
 
     def act(self, request_id: int) -> None:
         self.actions.reject(request_id, 1250 * MS, EndReason.INSUFFICIENT_TIME)
 
 
-class Fails(Stub):
+class Fails(StubBalancer):
     """Fails each request."""
 
     def act(self, request_id: int) -> None:
         self.actions.fail(request_id, EndReason.INSUFFICIENT_TIME)
 
 
-class Raises(Stub):
+class Raises(StubBalancer):
     """Raises an exception at each request."""
 
     def act(self, request_id: int) -> None:
         raise RuntimeError(f"deliberate error at request {request_id}")
 
 
-class RaisesLater(Stub):
+class RaisesLater(StubBalancer):
     """Sends one attempt for each request, and raises an exception when the attempt ends."""
 
     def act(self, request_id: int) -> None:
@@ -68,14 +68,14 @@
         raise RuntimeError("deliberate error at the end of an attempt")
 
 
-class Sends(Stub):
+class Sends(StubBalancer):
     """Sends one attempt for each request."""
 
     def act(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
 
-class SendsTwice(Stub):
+class SendsTwice(StubBalancer):
     """Sends two attempts for each request at once."""
 
     def act(self, request_id: int) -> None:
@@ -83,7 +83,7 @@
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
 
-class SendsAfterItsResponse(Stub):
+class SendsAfterItsResponse(StubBalancer):
     """Sends attempts before and after the final response, which it requests twice; records nested calls.
 
     The first attempt goes to an unknown endpoint and ends at once: its end must not be reported while the
