--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -18,10 +18,10 @@
 from gateway.upstream.connection import EndpointConnection
 from tests.support.loopback import SETTINGS, FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.stub_balancers import (
-    Fails,
-    Raises,
+    FailingBalancer,
     RaisesLater,
-    Rejects,
+    RaisingBalancer,
+    RejectingBalancer,
     Sends,
     SendsAfterItsResponse,
     SendsTwice,
@@ -77,9 +77,9 @@
 @pytest.mark.parametrize(
     ("balancer", "status", "retry_after"),
     [
-        (Rejects, 503, "1.250"),
-        (Fails, 502, None),
-        (Raises, 502, None),
+        (RejectingBalancer, 503, "1.250"),
+        (FailingBalancer, 502, None),
+        (RaisingBalancer, 502, None),
         (RaisesLater, 200, None),
         (StubBalancer, 502, None),  # never responds, so the gateway does before the client's deadline
     ],
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -7,10 +7,10 @@
 from balancer import MS, Actions, AttemptResult, EndReason, IncomingRequest, Settings
 
 __all__ = [
-    "Fails",
-    "Raises",
+    "FailingBalancer",
     "RaisesLater",
-    "Rejects",
+    "RaisingBalancer",
+    "RejectingBalancer",
     "Sends",
     "SendsAfterItsResponse",
     "SendsTwice",
@@ -37,21 +37,21 @@
         """Handle a new request; the base class does nothing."""
 
 
-class Rejects(StubBalancer):
+class RejectingBalancer(StubBalancer):
     """Rejects each request, with a Retry-After of 1250 ms."""
 
     def act(self, request_id: int) -> None:
         self.actions.reject(request_id, 1250 * MS, EndReason.INSUFFICIENT_TIME)
 
 
-class Fails(StubBalancer):
+class FailingBalancer(StubBalancer):
     """Fails each request."""
 
     def act(self, request_id: int) -> None:
         self.actions.fail(request_id, EndReason.INSUFFICIENT_TIME)
 
 
-class Raises(StubBalancer):
+class RaisingBalancer(StubBalancer):
     """Raises an exception at each request."""
 
     def act(self, request_id: int) -> None:
