--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -19,8 +19,8 @@
 from tests.support.loopback import SETTINGS, FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.stub_balancers import (
     FailingBalancer,
-    RaisesLater,
     RaisingBalancer,
+    RaisingOnAttemptEndBalancer,
     RejectingBalancer,
     Sends,
     SendsAfterItsResponse,
@@ -80,7 +80,7 @@
         (RejectingBalancer, 503, "1.250"),
         (FailingBalancer, 502, None),
         (RaisingBalancer, 502, None),
-        (RaisesLater, 200, None),
+        (RaisingOnAttemptEndBalancer, 200, None),
         (StubBalancer, 502, None),  # never responds, so the gateway does before the client's deadline
     ],
 )
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -8,8 +8,8 @@
 
 __all__ = [
     "FailingBalancer",
-    "RaisesLater",
     "RaisingBalancer",
+    "RaisingOnAttemptEndBalancer",
     "RejectingBalancer",
     "Sends",
     "SendsAfterItsResponse",
@@ -58,7 +58,7 @@
         raise RuntimeError(f"deliberate error at request {request_id}")
 
 
-class RaisesLater(StubBalancer):
+class RaisingOnAttemptEndBalancer(StubBalancer):
     """Sends one attempt for each request, and raises an exception when the attempt ends."""
 
     def act(self, request_id: int) -> None:
