--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -8,7 +8,7 @@
 from gateway.client.timeouts import FIRST_REQUEST_TIMEOUT_NS, IDLE_TIMEOUT_NS, SLOW_CLIENT_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.support.loopback import FakeEndpoint, GatewayHarness, request, wait_until
-from tests.support.stub_balancers import Sends
+from tests.support.stub_balancers import SingleAttemptBalancer
 
 
 def shift_wait_start(harness: GatewayHarness, wait_ns: int) -> None:
@@ -35,7 +35,7 @@
 async def test_connections_above_the_limit_get_a_rejection() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
+        await harness.begin(endpoint, make=SingleAttemptBalancer)
         harness.gateway.server.max_connections = 2
         busy = [await harness.client() for _ in range(2)]
         for number, client in enumerate(busy):
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -25,7 +25,7 @@
     request,
     wait_until,
 )
-from tests.support.stub_balancers import Sends, StubBalancer
+from tests.support.stub_balancers import SingleAttemptBalancer, StubBalancer
 
 OVERLOADED = b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 SHORT_OBJECTIVES: dict[str, Any] = {
@@ -332,7 +332,7 @@
     """The client may have left long ago.  A reset is not tested, as it discards unread data."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=Sends)
+        await harness.begin(endpoint, make=SingleAttemptBalancer)
         client = BlockingClient(harness.where)
         flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -8,7 +8,7 @@
 
 from balancer import MS
 from tests.support.loopback import FakeEndpoint, GatewayHarness, request, wait_until
-from tests.support.stub_balancers import Sends
+from tests.support.stub_balancers import SingleAttemptBalancer
 
 
 async def test_ready_only_once_an_endpoint_is_known() -> None:
@@ -28,7 +28,7 @@
 async def test_pipelined_requests_all_get_a_response_at_a_graceful_shutdown() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
+        await harness.begin(endpoint, make=SingleAttemptBalancer)
         client = await harness.client()
         client.send(request(request_id="r0") + request(request_id="r1"))
         forwarded = [await endpoint.received.get() for _ in range(2)]
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -18,13 +18,13 @@
 from gateway.upstream.connection import EndpointConnection
 from tests.support.loopback import SETTINGS, FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.stub_balancers import (
+    DuplicateAttemptBalancer,
     FailingBalancer,
     RaisingBalancer,
     RaisingOnAttemptEndBalancer,
     RejectingBalancer,
-    Sends,
     SendsAfterItsResponse,
-    SendsTwice,
+    SingleAttemptBalancer,
     StubBalancer,
 )
 
@@ -102,7 +102,7 @@
 async def test_the_other_attempt_is_cancelled_when_one_is_served() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SendsTwice)
+        await harness.begin(endpoint, make=DuplicateAttemptBalancer)
         client = await harness.client()
         client.send(request())
         first, second = await endpoint.received.get(), await endpoint.received.get()
@@ -205,7 +205,7 @@
     assert LoadReportParser(["outstanding"], ["inflight"]).read(b'{"outstanding": %b}' % text.encode()) == ()
 
 
-class RecordsOutcomes(Sends):
+class RecordsOutcomes(SingleAttemptBalancer):
     """Sends one attempt per request, and queues the outcomes of attempts."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -237,7 +237,7 @@
 async def test_open_requests_are_bounded_by_their_bytes() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
+        await harness.begin(endpoint, make=SingleAttemptBalancer)
         dispatcher = harness.gateway.dispatcher
         dispatcher.requests.max_bytes = 100_000
         first, second = await harness.client(), await harness.client()
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -24,7 +24,7 @@
     wait_until,
 )
 from tests.support.processes import connect, launch, write_config
-from tests.support.stub_balancers import Sends
+from tests.support.stub_balancers import SingleAttemptBalancer
 
 ROUNDS = 12
 MAX_SLOWDOWN = 10
@@ -88,7 +88,7 @@
     """incident-1: the timeout ran from the read, so endpoints got requests after their client had closed."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
+        await harness.begin(endpoint, make=SingleAttemptBalancer)
         client = await harness.client()
         for number in range(MAX_PIPELINED):
             client.send(request(request_id=f"r{number}"))
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -7,13 +7,13 @@
 from balancer import MS, Actions, AttemptResult, EndReason, IncomingRequest, Settings
 
 __all__ = [
+    "DuplicateAttemptBalancer",
     "FailingBalancer",
     "RaisingBalancer",
     "RaisingOnAttemptEndBalancer",
     "RejectingBalancer",
-    "Sends",
     "SendsAfterItsResponse",
-    "SendsTwice",
+    "SingleAttemptBalancer",
     "StubBalancer",
 ]
 
@@ -68,14 +68,14 @@
         raise RuntimeError("deliberate error at the end of an attempt")
 
 
-class Sends(StubBalancer):
+class SingleAttemptBalancer(StubBalancer):
     """Sends one attempt for each request."""
 
     def act(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
 
-class SendsTwice(StubBalancer):
+class DuplicateAttemptBalancer(StubBalancer):
     """Sends two attempts for each request at once."""
 
     def act(self, request_id: int) -> None:
