--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -23,7 +23,7 @@
     RaisingBalancer,
     RaisingOnAttemptEndBalancer,
     RejectingBalancer,
-    SendsAfterItsResponse,
+    SendAfterResponseBalancer,
     SingleAttemptBalancer,
     StubBalancer,
 )
@@ -115,10 +115,10 @@
 async def test_no_attempt_starts_after_the_response_and_no_event_is_nested() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        balancers: list[SendsAfterItsResponse] = []
+        balancers: list[SendAfterResponseBalancer] = []
 
         def make(settings: Settings, seed: int, actions: Actions) -> Any:
-            balancers.append(SendsAfterItsResponse(settings, seed, actions))
+            balancers.append(SendAfterResponseBalancer(settings, seed, actions))
             return balancers[0]
 
         await harness.begin(endpoint, make=make)
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -12,7 +12,7 @@
     "RaisingBalancer",
     "RaisingOnAttemptEndBalancer",
     "RejectingBalancer",
-    "SendsAfterItsResponse",
+    "SendAfterResponseBalancer",
     "SingleAttemptBalancer",
     "StubBalancer",
 ]
@@ -83,7 +83,7 @@
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
 
-class SendsAfterItsResponse(StubBalancer):
+class SendAfterResponseBalancer(StubBalancer):
     """Sends attempts before and after the final response, which it requests twice; records nested calls.
 
     The first attempt goes to an unknown endpoint and ends at once: its end must not be reported while the
