--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -137,7 +137,7 @@
 class SendsOnTimer(StubBalancer):
     """Sends the first attempt when the request's timer expires, then one after each non-final outcome."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.set_timer(request_id, 60_000 * MS)
 
     def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - interface
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -133,7 +133,7 @@
 class ChecksHealth(StubBalancer):
     """Sends a health check for each request and its result to itself by gossip, which starts the attempt."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.request_id = request_id
         self.actions.check_health("h0")
 
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -22,7 +22,7 @@
 
 
 class StubBalancer:
-    """Base class of the stubs: calls `act` for each request, and ignores all events without a method."""
+    """Base class of the stubs: calls `handle_request` for each request, ignores events without a method."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:  # noqa: ARG002 - the gateway's
         self.actions = actions
@@ -31,37 +31,37 @@
         return lambda *_event: None
 
     def on_request(self, now_ns: int, incoming: IncomingRequest) -> None:  # noqa: ARG002 - the gateway's
-        self.act(incoming.request_id)
+        self.handle_request(incoming.request_id)
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         """Handle a new request; the base class does nothing."""
 
 
 class RejectingBalancer(StubBalancer):
     """Rejects each request, with a Retry-After of 1250 ms."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.reject(request_id, 1250 * MS, EndReason.INSUFFICIENT_TIME)
 
 
 class FailingBalancer(StubBalancer):
     """Fails each request."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.fail(request_id, EndReason.INSUFFICIENT_TIME)
 
 
 class RaisingBalancer(StubBalancer):
     """Raises an exception at each request."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         raise RuntimeError(f"deliberate error at request {request_id}")
 
 
 class RaisingOnAttemptEndBalancer(StubBalancer):
     """Sends one attempt for each request, and raises an exception when the attempt ends."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
@@ -71,14 +71,14 @@
 class SingleAttemptBalancer(StubBalancer):
     """Sends one attempt for each request."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
 
 class DuplicateAttemptBalancer(StubBalancer):
     """Sends two attempts for each request at once."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
@@ -97,7 +97,7 @@
         self.outcomes: list[tuple[int, str, str]] = []
         """Number, endpoint and outcome of each attempt that ended, in the order of the reports."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.depth += 1
         self.max_depth = max(self.max_depth, self.depth)
         self.actions.send_attempt(request_id, "nowhere", 0)  # an unknown endpoint: the attempt ends at once
