--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 from _pytest.terminal import TerminalReporter
 from hypothesis import settings
 
-from tests.support.loopback import LIMIT_S
+from tests.support.loopback import TEST_TIMEOUT_S
 from tests.support.processes import end_launched
 
 KNOWN_FAILURES_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
@@ -60,7 +60,7 @@
 
     @functools.wraps(test)
     async def run(*args: Any, **fixtures: Any) -> None:
-        await asyncio.wait_for(test(*args, **fixtures), LIMIT_S)
+        await asyncio.wait_for(test(*args, **fixtures), TEST_TIMEOUT_S)
 
     return run
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -20,7 +20,7 @@
 from gateway.dispatcher import BalancerFactory
 from gateway.gateway import Gateway
 
-LIMIT_S = 20.0
+TEST_TIMEOUT_S = 20.0
 """Time limit of each asynchronous test, s."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 LAST = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
@@ -57,10 +57,10 @@
 
 
 def run_coroutine(function: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a coroutine function on uvloop, as the gateway does, with a time limit of `LIMIT_S`."""
+    """Run a coroutine function on uvloop, as the gateway does, with a time limit of `TEST_TIMEOUT_S`."""
 
     async def run() -> None:
-        await asyncio.wait_for(function(), LIMIT_S)
+        await asyncio.wait_for(function(), TEST_TIMEOUT_S)
 
     uvloop.run(run())
 
