--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -16,7 +16,7 @@
 from gateway.timers import now_ns
 from tests.support.event_control import BlockingClient, CapturedTimers, DelayedConnects, UnreportedConnects
 from tests.support.loopback import (
-    LAST,
+    CLOSING_RESPONSE,
     OK,
     SETTINGS,
     Client,
@@ -74,7 +74,7 @@
         close_client(closing_client)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
         endpoint.reply = OK
-        forwarded.reply(LAST)
+        forwarded.reply(CLOSING_RESPONSE)
         assert (await busy.response())[0] == 200
         await check_only_other_request_is_sent(harness, endpoint)
 
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from balancer import Actions, Balancer, EndpointId, IncomingRequest, Settings
-from tests.support.loopback import LAST, OK, FakeEndpoint, GatewayHarness, request, wait_until
+from tests.support.loopback import CLOSING_RESPONSE, OK, FakeEndpoint, GatewayHarness, request, wait_until
 
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -112,7 +112,7 @@
         await harness.begin(endpoint, make=harness.make_balancer)
         await harness.send(*(f"r{number}" for number in range(40)))
         for _ in range(20):
-            (await endpoint.received.get()).reply(LAST)
+            (await endpoint.received.get()).reply(CLOSING_RESPONSE)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 20)
         assert harness.in_flight() >= 4  # starts at 1; a fixed step per response would give 2
 
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -17,7 +17,7 @@
 from gateway.reload import ReloadState
 from gateway.tenant_table import ROWS_PER_STEP, TenantChanges, TenantDifference
 from tests.support.loopback import (
-    LAST,
+    CLOSING_RESPONSE,
     SETTINGS,
     FakeDiscovery,
     FakeEndpoint,
@@ -133,9 +133,9 @@
         client = await file.harness.client()
         client.send(request(request_id="new", X_Tenant_Id="new"))
         await wait_until(lambda: len(dispatcher.open_requests()) == 3)
-        received.reply(LAST)
+        received.reply(CLOSING_RESPONSE)
         for _ in range(2):
-            (await endpoint.received.get()).reply(LAST)
+            (await endpoint.received.get()).reply(CLOSING_RESPONSE)
         for connection in (sent, waiting, client):
             assert (await connection.response())[::2] == (200, b"done")
         balancer: Any = dispatcher.balancer
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.support.loopback import LAST, FakeDiscovery, FakeEndpoint, request
+from tests.support.loopback import CLOSING_RESPONSE, FakeDiscovery, FakeEndpoint, request
 from tests.support.processes import COMMAND, ROOT, connect, launch, write_config
 
 HEALTH_CHECK = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -62,7 +62,7 @@
     late = await connect(address)  # new connections are still accepted for a while
     status, headers, _ = await late.exchange(HEALTH_CHECK)
     assert (status, headers["connection"]) == (503, "close")
-    received.reply(LAST)
+    received.reply(CLOSING_RESPONSE)
     assert (await busy.response())[0] == 200
     busy.send(request(request_id="r2"))  # open connections are still served
     (await endpoint.received.get()).reply()
@@ -93,13 +93,13 @@
     ] != 503:  # the signals are handled asynchronously
         pass
     sent.writer.write(request(request_id="next"))  # pipelined, before the first response
-    received.reply(LAST)
+    received.reply(CLOSING_RESPONSE)
     assert (await sent.response())[::2] == (200, b"done")
     forwarded = []
     for _ in range(2):
         received = await endpoint.received.get()
         forwarded.append(received.headers["x-request-id"])
-        received.reply(LAST)
+        received.reply(CLOSING_RESPONSE)
     assert sorted(forwarded) == ["next", "waiting"]
     assert (await waiting.response())[::2] == (200, b"done")
     assert (await sent.response())[::2] == (200, b"done")
@@ -119,7 +119,7 @@
     ] != 503:  # the signal is handled asynchronously
         pass
     first.send(request())
-    (await endpoint.received.get()).reply(LAST)
+    (await endpoint.received.get()).reply(CLOSING_RESPONSE)
     assert (await first.response())[0] == 200
     second.send(request(request_id="r2"))
     received = await endpoint.received.get()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -23,7 +23,7 @@
 TEST_TIMEOUT_S = 20.0
 """Time limit of each asynchronous test, s."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-LAST = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
+CLOSING_RESPONSE = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
 """A response with `Connection: close`: the endpoint accepts no further request on this connection."""
 SETTINGS: dict[str, Any] = {
     "az": 0,
