--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -17,7 +17,7 @@
 from tests.support.event_control import BlockingClient, CapturedTimers, DelayedConnects, UnreportedConnects
 from tests.support.loopback import (
     CLOSING_RESPONSE,
-    OK,
+    OK_RESPONSE,
     SETTINGS,
     Client,
     FakeEndpoint,
@@ -73,7 +73,7 @@
         assert endpoint.received.empty()
         close_client(closing_client)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
-        endpoint.reply = OK
+        endpoint.reply = OK_RESPONSE
         forwarded.reply(CLOSING_RESPONSE)
         assert (await busy.response())[0] == 200
         await check_only_other_request_is_sent(harness, endpoint)
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -9,12 +9,12 @@
 
 from balancer import SECOND
 from gateway.timers import now_ns
-from tests.support.loopback import OK, FakeEndpoint, GatewayHarness, request, wait_until
+from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request, wait_until
 
 
 async def test_an_upgrade_is_ignored() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(reply=OK))
+        await harness.begin(FakeEndpoint(reply=OK_RESPONSE))
         client = await harness.client()
         assert (await client.exchange(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
         assert await client.reader.read() == b""
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -6,7 +6,14 @@
 from typing import Any
 
 from balancer import Actions, Balancer, EndpointId, IncomingRequest, Settings
-from tests.support.loopback import CLOSING_RESPONSE, OK, FakeEndpoint, GatewayHarness, request, wait_until
+from tests.support.loopback import (
+    CLOSING_RESPONSE,
+    OK_RESPONSE,
+    FakeEndpoint,
+    GatewayHarness,
+    request,
+    wait_until,
+)
 
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -153,7 +160,7 @@
         rejections = 0
         while rejections < 8:  # one in five of the overloaded endpoint's responses
             is_rejection = overloaded.received.qsize() % 5 == 4
-            overloaded.reply = REJECTION if is_rejection else OK
+            overloaded.reply = REJECTION if is_rejection else OK_RESPONSE
             before = overloaded.received.qsize()
             await harness.send(f"r{harness.request_count}")
             await wait_until(lambda: harness.in_flight() == 0)
--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -10,7 +10,7 @@
 
 from balancer import Outcome
 from gateway.upstream.response_parser import MAX_HEAD_BYTES
-from tests.support.loopback import OK, FakeEndpoint
+from tests.support.loopback import OK_RESPONSE, FakeEndpoint
 from tests.support.upstream import UpstreamHarness
 
 REJECTION = b"Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -19,8 +19,8 @@
 @pytest.mark.parametrize(
     ("reply", "closes", "outcome"),
     [
-        (OK, False, Outcome.OK),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, False, Outcome.OK),
+        (OK_RESPONSE, False, Outcome.OK),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE, False, Outcome.OK),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", False, Outcome.OK),
         (
             b"HTTP/1.1 200 OK\r\nContent-Length:4 \t \r\n\r\ndone",
@@ -109,8 +109,8 @@
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
     for first, second, outcome in (
-        (OK, b"HTTP/1.1 503 " + REJECTION, Outcome.OK),
-        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", OK, Outcome.ERROR),
+        (OK_RESPONSE, b"HTTP/1.1 503 " + REJECTION, Outcome.OK),
+        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", OK_RESPONSE, Outcome.ERROR),
     ):
         _, result = harness.start()
         received = await endpoint.received.get()
@@ -124,7 +124,9 @@
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
     received = await endpoint.received.get()
-    received.reply(OK + b" and the rest of it")  # Content-Length may be too small, or this is unrelated data
+    received.reply(
+        OK_RESPONSE + b" and the rest of it"
+    )  # Content-Length may be too small, or this is unrelated data
     assert await result == (Outcome.INVALID_RESPONSE, None)
     await received.closed()
 
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -8,7 +8,7 @@
 
 from balancer import SECOND, EndpointState, Outcome
 from gateway.timers import now_ns
-from tests.support.loopback import OK, FakeEndpoint, GatewayHarness, request
+from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request
 from tests.support.upstream import MAX_OPEN, UpstreamHarness, address_of, age_idle_connections, open_listener
 
 
@@ -77,7 +77,7 @@
         _, result = harness.start()
         old_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(old_socket, 1000)
-        await loop.sock_sendall(old_socket, OK)
+        await loop.sock_sendall(old_socket, OK_RESPONSE)
         assert (await result)[0] is Outcome.OK
         old_socket.setblocking(True)  # what follows arrives while the event loop is blocked
         if late_data:
@@ -88,7 +88,7 @@
         _, result = harness.start()
         new_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(new_socket, 1000)
-        await loop.sock_sendall(new_socket, OK)
+        await loop.sock_sendall(new_socket, OK_RESPONSE)
         outcome, response = await result
         assert outcome is Outcome.OK
         assert response is not None
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -10,7 +10,7 @@
 from balancer import MS, SECOND, EndpointState, Outcome
 from gateway.upstream.connection import ConnectionState, EndpointConnection
 from gateway.upstream.endpoint import UpstreamEndpoint
-from tests.support.loopback import OK, FakeEndpoint, GatewayHarness, request, wait_until
+from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.upstream import UpstreamHarness, address_of, full_listener, open_listener, peek
 
 
@@ -136,7 +136,7 @@
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
     received = await endpoint.received.get()
-    received.reply(OK + OK)
+    received.reply(OK_RESPONSE + OK_RESPONSE)
     assert (await result)[0] is Outcome.OK
     await received.closed()
     _, result = harness.start()
--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -12,7 +12,7 @@
 from scale.backend import main as backend_main
 from scale.load import LoadGenerator, arrival_times, request_bytes
 from scale.load import main as load_main
-from tests.support.loopback import OK, run_coroutine
+from tests.support.loopback import OK_RESPONSE, run_coroutine
 
 
 def parse_address(text: str) -> tuple[str, int]:
@@ -43,7 +43,7 @@
             received.append(writer)
             if len(received) == 20:  # not reached by a generator that waits for responses
                 for other in received:
-                    other.write(OK)
+                    other.write(OK_RESPONSE)
 
         generator = LoadGenerator(await start_server(serve), "read", "t", 15_000)
         samples = await generator.run([number / 1000 for number in range(20)])
@@ -61,7 +61,7 @@
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             heads.append(await reader.readuntil(b"\r\n\r\n"))
-            writer.write(OK)
+            writer.write(OK_RESPONSE)
             heads.append(await reader.readuntil(b"\r\n\r\n"))
             writer.close()
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -22,7 +22,7 @@
 
 TEST_TIMEOUT_S = 20.0
 """Time limit of each asynchronous test, s."""
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 CLOSING_RESPONSE = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
 """A response with `Connection: close`: the endpoint accepts no further request on this connection."""
 SETTINGS: dict[str, Any] = {
@@ -88,7 +88,7 @@
         self.first, self.headers, self.body = first, headers, body
         self.writer, self.reader, self._closed = writer, reader, closed
 
-    def reply(self, data: bytes = OK) -> None:
+    def reply(self, data: bytes = OK_RESPONSE) -> None:
         """Write bytes to the gateway, by default a complete response."""
         self.writer.write(data)
 
@@ -108,7 +108,7 @@
     Without a `reply` the test itself responds, and only the first request of each connection is read.
     """
 
-    def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
+    def __init__(self, name: str = "h0", reply: bytes | None = OK_RESPONSE) -> None:
         self.name = name
         self.reply = reply
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
