--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -16,7 +16,7 @@
         await harness.begin(endpoint)
         assert (await (await harness.client()).exchange(KEYED_REQUEST))[::2] == (200, b"done")
         forwarded = await endpoint.received.get()
-        assert (forwarded.first, forwarded.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
+        assert (forwarded.first_line, forwarded.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
         assert {
             name: forwarded.headers.get(name)
             for name in ("x-request-id", "idempotency-key", "content-type", "x-hop", "connection")
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -166,7 +166,7 @@
         received.reply()
         assert (await client.response())[::2] == (200, b"done")
         client.send(request("once", request_id="next"))
-        assert (await endpoint.received.get()).first.startswith("POST /once")
+        assert (await endpoint.received.get()).first_line.startswith("POST /once")
         [opened] = balancer.lifecycle.requests.values()
         assert opened.objective_ns == 5_000_000_000
         assert opened.traffic_class.idempotency.value == "non-idempotent"
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -162,8 +162,8 @@
         overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
         await harness.begin(endpoint, make=ChecksHealth, configuration=overrides)
         assert (await (await harness.client()).exchange(request()))[0] == 200
-        assert (await endpoint.received.get()).first == "GET /stats HTTP/1.1"
-        assert (await endpoint.received.get()).first == "GET /read/x?q=1 HTTP/1.1"
+        assert (await endpoint.received.get()).first_line == "GET /stats HTTP/1.1"
+        assert (await endpoint.received.get()).first_line == "GET /read/x?q=1 HTTP/1.1"
 
 
 async def test_no_health_check_where_the_settings_allow_none() -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -78,14 +78,14 @@
 
     def __init__(
         self,
-        first: str,
+        first_line: str,
         headers: dict[str, str],
         body: bytes,
         writer: asyncio.StreamWriter,
         reader: asyncio.StreamReader,
         closed: asyncio.Event | None,
     ) -> None:
-        self.first, self.headers, self.body = first, headers, body
+        self.first_line, self.headers, self.body = first_line, headers, body
         self.writer, self.reader, self._closed = writer, reader, closed
 
     def reply(self, data: bytes = OK_RESPONSE) -> None:
