--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -152,6 +152,6 @@
         assert (await client.exchange(request()))[0] == 200
         received = await endpoint.received.get()
         harness.discovery.line(writer, 43, [other.row()], reset=True)
-        await received.closed()  # it is no longer listed
+        await received.wait_closed()  # it is no longer listed
         assert (await client.exchange(request(request_id="r2")))[0] == 200
         assert (await other.received.get()).headers["x-request-id"] == "r2"
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -70,7 +70,7 @@
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
-        await received.closed()
+        await received.wait_closed()
         assert not harness.gateway.dispatcher.open_requests()
 
 
@@ -108,7 +108,7 @@
         first, second = await endpoint.received.get(), await endpoint.received.get()
         second.reply()
         assert (await client.response())[0] == 200
-        await first.closed()
+        await first.wait_closed()
         assert not harness.gateway.dispatcher.open_requests()
 
 
--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -116,7 +116,7 @@
         received = await endpoint.received.get()
         received.reply(first + second)
         assert (await result)[0] is outcome
-        await received.closed()
+        await received.wait_closed()
 
 
 async def test_response_followed_by_other_data_is_invalid() -> None:
@@ -128,7 +128,7 @@
         OK_RESPONSE + b" and the rest of it"
     )  # Content-Length may be too small, or this is unrelated data
     assert await result == (Outcome.INVALID_RESPONSE, None)
-    await received.closed()
+    await received.wait_closed()
 
 
 async def test_large_body_in_pieces_does_not_count_towards_the_head() -> None:
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -84,7 +84,7 @@
         client.send(request(request_id="timed-out", X_Timeout_Ms="60"))
         received = await endpoint.received.get()
         assert (await client.response())[0] in (502, 503)
-        await received.closed()
+        await received.wait_closed()
         client.send(request(request_id="abandoned"))
         await endpoint.received.get()
         client.writer.close()
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -45,7 +45,7 @@
     harness.list_endpoint(
         second.address if change == "move" else endpoint.address, started_ns=5 if change == "restart" else 0
     )
-    await received.closed()
+    await received.wait_closed()
     assert (await harness.start()[1])[0] is Outcome.OK
     assert endpoint.connections + second.connections == 2
 
@@ -64,7 +64,7 @@
     assert (await received[1].reader.readline()).startswith(b"GET ")  # the one that became idle last
     harness.upstream.cancel_attempt(third_attempt)
     harness.upstream.sweep(now_ns() + 10 * SECOND)  # the endpoint would close after 15 s
-    await received[0].closed()
+    await received[0].wait_closed()
 
 
 @pytest.mark.parametrize("late_data", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother", None])
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -79,12 +79,12 @@
     received = await endpoint.received.get()
     harness.upstream.cancel_attempt(attempt)
     assert (await result)[0] is Outcome.CANCELLED
-    await received.closed()
+    await received.wait_closed()
     _, result = harness.start(900 * MS)
     received = await endpoint.received.get()
     assert 1 <= int(received.headers["x-timeout-ms"]) <= 900
     assert (await result)[0] is Outcome.TIMEOUT
-    await received.closed()
+    await received.wait_closed()
 
 
 @pytest.mark.parametrize("how", ["cancel_attempt", "expire_attempt", "invalid"])
@@ -126,7 +126,7 @@
         second = await asyncio.wait_for(endpoint.received.get(), 5)  # on another connection
         assert second.headers["x-request-id"] == "r1"
         first.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
-        await first.closed()  # by then the gateway has read the late response
+        await first.wait_closed()  # by then the gateway has read the late response
         second.reply()
         assert (await client.response())[::2] == (200, b"done")
 
@@ -138,13 +138,13 @@
     received = await endpoint.received.get()
     received.reply(OK_RESPONSE + OK_RESPONSE)
     assert (await result)[0] is Outcome.OK
-    await received.closed()
+    await received.wait_closed()
     _, result = harness.start()
     received = await endpoint.received.get()
     received.reply()
     assert (await result)[0] is Outcome.OK
     received.reply(b"noise")
-    await received.closed()
+    await received.wait_closed()
 
 
 async def test_illegal_transition_is_logged_and_ignored(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -92,7 +92,7 @@
         """Write bytes to the gateway, by default a complete response."""
         self.writer.write(data)
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the gateway has closed the connection of this request."""
         if self._closed is not None:
             await self._closed.wait()
