--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -20,7 +20,7 @@
         assert (await client.exchange(readiness_check))[0] == 503
         _, writer = await harness.discovery.calls.get()
         harness.discovery.head(writer)
-        harness.discovery.line(writer, 42, [endpoint.row()])
+        harness.discovery.line(writer, 42, [endpoint.make_entry()])
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert (await client.exchange(readiness_check))[0] == 200
 
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -80,7 +80,7 @@
     async with CountingHarness() as harness:
         await harness.begin(*endpoints, make=harness.make_balancer)
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(*(endpoint.row("terminating") for endpoint in endpoints[1:]))
+        await watch.notify(*(endpoint.make_entry("terminating") for endpoint in endpoints[1:]))
         await harness.send("r1", "r2", "r3", "r4")
         assert harness.in_flight() == 1
 
@@ -91,8 +91,8 @@
     async with CountingHarness() as harness:
         await harness.begin(*endpoints, make=harness.make_balancer, rows=[])
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(endpoints[0].row())
-        await watch.notify(*(endpoint.row() for endpoint in endpoints[1:]))
+        await watch.notify(endpoints[0].make_entry())
+        await watch.notify(*(endpoint.make_entry() for endpoint in endpoints[1:]))
         await harness.send("r1", "r2", "r3", "r4")
         assert harness.in_flight() == 4
 
@@ -103,10 +103,10 @@
     async with CountingHarness() as harness:
         await harness.begin(old, new, make=harness.make_balancer, rows=[])
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(old.row())
+        await watch.notify(old.make_entry())
         await harness.send("r1")
         received = await old.received.get()
-        await watch.notify(old.row("terminating"), new.row())
+        await watch.notify(old.make_entry("terminating"), new.make_entry())
         await harness.send("r2")
         assert harness.endpoints_in_flight() == ["old", "new"]
         assert received.first_line.startswith("GET")  # the reference retains the connection until here
@@ -134,7 +134,9 @@
         }
         await harness.begin(*endpoints, make=harness.make_balancer, rows=[], **quotas)
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(endpoints[0].row(), *(endpoint.row(zone="b") for endpoint in endpoints[1:]))
+        await watch.notify(
+            endpoints[0].make_entry(), *(endpoint.make_entry(zone="b") for endpoint in endpoints[1:])
+        )
         await harness.send("r1", "r2", "r3", "r4")  # the burst allowed by the quota; it fills the local zone
         assert harness.endpoints_in_flight() == ["h0"] * 4
         await harness.send("r5")
@@ -156,7 +158,9 @@
         await harness.begin(*endpoints, make=harness.make_balancer, rows=[])
         watch = await DiscoveryWatch.accept(harness)
         overloaded, *others = endpoints
-        await watch.notify(overloaded.row(weight=1000.0), *(endpoint.row() for endpoint in others))
+        await watch.notify(
+            overloaded.make_entry(weight=1000.0), *(endpoint.make_entry() for endpoint in others)
+        )
         rejections = 0
         while rejections < 8:  # one in five of the overloaded endpoint's responses
             is_rejection = overloaded.received.qsize() % 5 == 4
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -147,11 +147,11 @@
         client = await harness.client()
         _, writer = await harness.discovery.calls.get()
         harness.discovery.head(writer)
-        harness.discovery.line(writer, 42, [endpoint.row()])
+        harness.discovery.line(writer, 42, [endpoint.make_entry()])
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert (await client.exchange(request()))[0] == 200
         received = await endpoint.received.get()
-        harness.discovery.line(writer, 43, [other.row()], reset=True)
+        harness.discovery.line(writer, 43, [other.make_entry()], reset=True)
         await received.wait_closed()  # it is no longer listed
         assert (await client.exchange(request(request_id="r2")))[0] == 200
         assert (await other.received.get()).headers["x-request-id"] == "r2"
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -234,7 +234,7 @@
     await discovery.start(discovery_socket)
     _, writer = await discovery.calls.get()
     discovery.head(writer)
-    discovery.line(writer, 42, [endpoint.row()])
+    discovery.line(writer, 42, [endpoint.make_entry()])
     for complete_request in (HEALTH_CHECK, request()):
         while True:
             client = await connect(address)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -137,7 +137,7 @@
             if closed is not None:
                 closed.set()
 
-    def row(self, lifecycle: str = "in_service", **more_fields: Any) -> dict[str, Any]:
+    def make_entry(self, lifecycle: str = "in_service", **more_fields: Any) -> dict[str, Any]:
         """Return this endpoint's entry in the endpoint list, in the JSON form of discovery."""
         return {
             "instanceId": self.name,
@@ -279,7 +279,7 @@
             "known": {
                 "generation": 41,
                 "reset": True,
-                "instances": [endpoint.row() for endpoint in endpoints] if rows is None else rows,
+                "instances": [endpoint.make_entry() for endpoint in endpoints] if rows is None else rows,
             },
             "settings": {**SETTINGS, **settings},
             **(configuration or {}),
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -36,7 +36,11 @@
         "discovery": discovery.address,
         "seed": "7",
         "settings": SETTINGS,
-        "known": {"generation": 41, "reset": True, "instances": [endpoint.row() for endpoint in endpoints]},
+        "known": {
+            "generation": 41,
+            "reset": True,
+            "instances": [endpoint.make_entry() for endpoint in endpoints],
+        },
     }
     path.write_text(json.dumps(config))
     return config
