--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -19,8 +19,8 @@
         readiness_check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.exchange(readiness_check))[0] == 503
         _, writer = await harness.discovery.calls.get()
-        harness.discovery.head(writer)
-        harness.discovery.line(writer, 42, [endpoint.make_entry()])
+        harness.discovery.start_watch_response(writer)
+        harness.discovery.write_watch_event(writer, 42, [endpoint.make_entry()])
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert (await client.exchange(readiness_check))[0] == 200
 
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -64,13 +64,13 @@
     async def accept(harness: GatewayHarness) -> DiscoveryWatch:
         """Wait for the watch call and begin the response to it."""
         _, writer = await harness.discovery.calls.get()
-        harness.discovery.head(writer)
+        harness.discovery.start_watch_response(writer)
         return DiscoveryWatch(harness, writer)
 
     async def notify(self, *rows: dict[str, Any]) -> None:
         """Send a watch event and wait until the gateway has applied it."""
         self._generation += 1
-        self._harness.discovery.line(self._writer, self._generation, list(rows))
+        self._harness.discovery.write_watch_event(self._writer, self._generation, list(rows))
         await wait_until(lambda: self._harness.gateway.discovery.generation == self._generation)
 
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -39,22 +39,22 @@
     other, third = await FakeDiscovery().start(), await FakeDiscovery().start()
     discovery.watch(True)
     _, old = await server.calls.get()
-    server.head(old)
-    server.line(old, 42, [])
+    server.start_watch_response(old)
+    server.write_watch_event(old, 42, [])
     await harness.updates.get()
     discovery.move_to(address_of(third))  # changed again below: only the last address is used
     await third.calls.get()
     discovery.move_to(address_of(other))
     first, new = await other.calls.get()
     assert "from=0 " in first  # generations of different addresses are not comparable
-    server.line(old, 43, [{**ENTRY, "lifecycle": "terminating"}])
+    server.write_watch_event(old, 43, [{**ENTRY, "lifecycle": "terminating"}])
     kind, [endpoint] = await harness.updates.get()
     assert (kind, endpoint.entry.state) == (UpdateKind.DELTA, EndpointState.DRAINING)
-    other.head(new)
-    other.line(new, 7, [ENTRY], reset=True)
+    other.start_watch_response(new)
+    other.write_watch_event(new, 7, [ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
-    server.line(old, 44, [{**ENTRY, "lifecycle": "terminated"}])
-    other.line(new, 8, [])
+    server.write_watch_event(old, 44, [{**ENTRY, "lifecycle": "terminated"}])
+    other.write_watch_event(new, 8, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])  # no update of the old watch in between
     new.close()
     assert "from=8 " in (await other.calls.get())[0]
@@ -73,8 +73,8 @@
     _, new = await other.calls.get()
     new.close()
     _, new = await other.calls.get()
-    other.head(new)
-    other.line(new, 7, [ENTRY], reset=True)
+    other.start_watch_response(new)
+    other.write_watch_event(new, 7, [ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT  # no failure was reported before it
 
 
@@ -98,8 +98,8 @@
     server, discovery = harness.server, harness.discovery
     other = await FakeDiscovery().start()
     _, old = await server.calls.get()
-    server.head(old)
-    server.line(old, 42, [])
+    server.start_watch_response(old)
+    server.write_watch_event(old, 42, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.move_to(address_of(other))
     _, new = await other.calls.get()
@@ -107,8 +107,8 @@
     new.close()
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
     _, new = await asyncio.wait_for(other.calls.get(), 5)
-    other.head(new)
-    other.line(new, 7, [ENTRY], reset=True)
+    other.start_watch_response(new)
+    other.write_watch_event(new, 7, [ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
 
 
@@ -120,8 +120,8 @@
     other = await FakeDiscovery().start()
     discovery.watch(True)
     _, old = await server.calls.get()
-    server.head(old)
-    server.line(old, 42, [])
+    server.start_watch_response(old)
+    server.write_watch_event(old, 42, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.move_to(address_of(other))
     await other.calls.get()
@@ -135,8 +135,8 @@
     else:  # the balancer reopens a failed watch within a second
         discovery.watch(True)
     _, new = await other.calls.get()
-    other.head(new)
-    other.line(new, 7, [ENTRY], reset=True)
+    other.start_watch_response(new)
+    other.write_watch_event(new, 7, [ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
 
 
@@ -146,12 +146,12 @@
         await harness.begin(endpoint, other, rows=[])
         client = await harness.client()
         _, writer = await harness.discovery.calls.get()
-        harness.discovery.head(writer)
-        harness.discovery.line(writer, 42, [endpoint.make_entry()])
+        harness.discovery.start_watch_response(writer)
+        harness.discovery.write_watch_event(writer, 42, [endpoint.make_entry()])
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert (await client.exchange(request()))[0] == 200
         received = await endpoint.received.get()
-        harness.discovery.line(writer, 43, [other.make_entry()], reset=True)
+        harness.discovery.write_watch_event(writer, 43, [other.make_entry()], reset=True)
         await received.wait_closed()  # it is no longer listed
         assert (await client.exchange(request(request_id="r2")))[0] == 200
         assert (await other.received.get()).headers["x-request-id"] == "r2"
--- a/tests/gateway/test_discovery_calls.py
+++ b/tests/gateway/test_discovery_calls.py
@@ -21,12 +21,12 @@
     discovery.watch(True)  # must not open a second watch
     first, writer = await server.calls.get()
     assert first == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
-    server.head(writer)
-    server.raw(writer, b"\n")
-    server.line(writer, 43, [{**ENTRY, "lifecycle": "terminating"}])
+    server.start_watch_response(writer)
+    server.write_chunk(writer, b"\n")
+    server.write_watch_event(writer, 43, [{**ENTRY, "lifecycle": "terminating"}])
     kind, [endpoint] = await harness.updates.get()
     assert (kind, endpoint.entry.state) == (UpdateKind.DELTA, EndpointState.DRAINING)
-    server.line(writer, 44, [ENTRY], reset=True)
+    server.write_watch_event(writer, 44, [ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
     writer.close()
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
@@ -52,8 +52,8 @@
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     _, writer = await server.calls.get()
-    server.head(writer)
-    server.raw(writer, line)
+    server.start_watch_response(writer)
+    server.write_chunk(writer, line)
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
     discovery.watch(True)
     assert "from=41" in (await server.calls.get())[0]
@@ -65,10 +65,10 @@
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     _, writer = await server.calls.get()
-    server.head(writer)
+    server.start_watch_response(writer)
     for generation in (43, 44):
         rows = [ENTRY, {**ENTRY, "instanceId": "h1"}]
-        server.raw(
+        server.write_chunk(
             writer,
             json.dumps({"generation": generation, "instances": rows, "reset": False}, indent=indent).encode()
             + b"\n",
@@ -78,8 +78,8 @@
             UpdateKind.DELTA,
             ["h0", "h1"],
         )
-    server.raw(writer, b"\n")
-    server.line(writer, 45, [])
+    server.write_chunk(writer, b"\n")
+    server.write_watch_event(writer, 45, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
 
 
@@ -89,12 +89,12 @@
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     _, writer = await server.calls.get()
-    server.head(writer)
-    server.line(writer, 43, [])
+    server.start_watch_response(writer)
+    server.write_watch_event(writer, 43, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
-    server.raw(writer, b'{"generation": 44, "instances": [\n')
+    server.write_chunk(writer, b'{"generation": 44, "instances": [\n')
     if has_heartbeat:
-        server.raw(writer, b"\n")
+        server.write_chunk(writer, b"\n")
     else:
         call = discovery.current_watch
         await wait_until(lambda: call is not None and call.has_partial_object)
@@ -132,8 +132,8 @@
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     _, writer = await server.calls.get()
-    server.head(writer)
-    server.line(writer, 43, [])
+    server.start_watch_response(writer)
+    server.write_watch_event(writer, 43, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.sweep(now_ns() + 11 * SECOND // 4)  # a late heartbeat is not a failure
     assert harness.updates.empty()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -233,8 +233,8 @@
         assert f"Errno {errno.ECONNREFUSED}" in line
     await discovery.start(discovery_socket)
     _, writer = await discovery.calls.get()
-    discovery.head(writer)
-    discovery.line(writer, 42, [endpoint.make_entry()])
+    discovery.start_watch_response(writer)
+    discovery.write_watch_event(writer, 42, [endpoint.make_entry()])
     for complete_request in (HEALTH_CHECK, request()):
         while True:
             client = await connect(address)
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -113,8 +113,8 @@
             assert await health_status(harness) == 503
             writer.write(BUSY)
         _, writer = await harness.discovery.calls.get()
-        FakeDiscovery.head(writer)
-        FakeDiscovery.line(writer, 1, [endpoint.make_entry()], reset=True)
+        FakeDiscovery.start_watch_response(writer)
+        FakeDiscovery.write_watch_event(writer, 1, [endpoint.make_entry()], reset=True)
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert await health_status(harness) == 200
         return sum(delays_ns)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -176,22 +176,22 @@
             await reader.read()
 
     @staticmethod
-    def head(writer: asyncio.StreamWriter) -> None:
+    def start_watch_response(writer: asyncio.StreamWriter) -> None:
         """Write the head of the chunked response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
-    def line(
+    def write_watch_event(
         writer: asyncio.StreamWriter, generation: int, entries: list[dict[str, Any]], reset: bool = False
     ) -> None:
         """Write one watch event: a line of JSON, as one chunk."""
-        FakeDiscovery.raw(
+        FakeDiscovery.write_chunk(
             writer,
             json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode() + b"\n",
         )
 
     @staticmethod
-    def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
+    def write_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write these bytes as one chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
