--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -27,7 +27,7 @@
             and harness.gateway.server.busy_connections == 1
         )
         harness.gateway.server.sweep(now_ns() + SLOW_CLIENT_TIMEOUT_NS + SECOND)
-        assert (await slow.response())[0] == 408
+        assert (await slow.read_response())[0] == 408
         harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
         assert await idle.reader.read() == b""
 
@@ -45,7 +45,7 @@
         assert (status, headers["connection"]) == (503, "close")
         for client, item in zip(busy, forwarded, strict=True):
             item.reply()
-            assert (await client.response())[0] == 200
+            assert (await client.read_response())[0] == 200
         assert (await (await harness.client()).exchange(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
 
 
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -75,7 +75,7 @@
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
         endpoint.reply = OK_RESPONSE
         forwarded.reply(CLOSING_RESPONSE)
-        assert (await busy.response())[0] == 200
+        assert (await busy.read_response())[0] == 200
         await check_only_other_request_is_sent(harness, endpoint)
 
 
@@ -115,7 +115,7 @@
         await connects.was_called.wait()
         close_client(client)
         if close_client is half_close:  # the client may still read, so it gets a response
-            assert (await client.response())[0] == 502
+            assert (await client.read_response())[0] == 502
         await wait_until(lambda: not harness.gateway.dispatcher.open_requests())
         connects.may_begin.set()
         await check_only_other_request_is_sent(harness, endpoint)
@@ -131,7 +131,7 @@
         client.writer.write_eof()
         await wait_until(lambda: harness.gateway.dispatcher.open_requests()[0].client_closing)
         forwarded.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
 
 
 class SendsOnTimer(StubBalancer):
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -83,7 +83,7 @@
         for piece in [data[index : index + 1] for index in range(len(data))] if in_bytes else [data]:
             client.send(piece)
             await asyncio.sleep(0)
-        assert (await client.response())[0] == 400
+        assert (await client.read_response())[0] == 400
         assert await client.reader.read() == b""
         assert (await (await harness.client()).exchange(request(request_id="good")))[0] == 200
         assert (await endpoint.received.get()).headers["x-request-id"] == "good"
@@ -94,7 +94,7 @@
         await harness.begin(FakeEndpoint())
         client = await harness.client()
         client.send(request("once", Content_Length="60000000"))
-        assert (await client.response())[0] == 413
+        assert (await client.read_response())[0] == 413
         for _ in range(100):
             client.send(b"x" * 65536)
         [connection] = harness.gateway.server.connections
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -23,7 +23,7 @@
         for item in reversed(forwarded):
             request_id = item.headers["x-request-id"].encode()
             item.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request_id)
-        assert [(await client.response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
+        assert [(await client.read_response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
 
 
 async def test_every_one_of_many_pipelined_requests_gets_a_response() -> None:
@@ -32,7 +32,7 @@
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(200)))
         for _ in range(200):
-            assert (await client.response())[0] in (200, 503)
+            assert (await client.read_response())[0] in (200, 503)
 
 
 async def test_pipelined_requests_above_the_limit_are_rejected() -> None:
@@ -45,7 +45,7 @@
         assert len(harness.gateway.dispatcher.open_requests()) == MAX_PIPELINED
         for item in forwarded:
             item.reply()
-        assert [(await client.response())[0] for _ in range(100)] == [200] * 8 + [503] * 92
+        assert [(await client.read_response())[0] for _ in range(100)] == [200] * 8 + [503] * 92
         assert endpoint.received.empty()
 
 
@@ -58,7 +58,7 @@
         invalid = request(request_id="")
         assert (await client.exchange(invalid))[0] == 400
         client.send(invalid)
-        waiting = asyncio.ensure_future(client.response())
+        waiting = asyncio.ensure_future(client.read_response())
         for _ in range(3):  # one immediate error and one per sweep, at any request rate
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.shield(waiting), 0.02)
@@ -66,7 +66,7 @@
             assert (await waiting)[0] == 400
             assert (await client.exchange(invalid))[0] == 400
             client.send(invalid)
-            waiting = asyncio.ensure_future(client.response())
+            waiting = asyncio.ensure_future(client.read_response())
         waiting.cancel()
 
 
@@ -87,7 +87,7 @@
         [connection] = harness.gateway.server.connections
         await wait_until(lambda: len(connection.queue) == errors - 1)  # the first one has been answered
         client.send(request(request_id="good"))
-        assert [(await client.response())[0] for _ in range(errors + 1)] == [400] * errors + [200]
+        assert [(await client.read_response())[0] for _ in range(errors + 1)] == [400] * errors + [200]
 
 
 async def test_a_flood_of_invalid_requests_is_read_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -101,14 +101,14 @@
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
         [connection] = harness.gateway.server.connections
         for _ in range(300):
-            response = asyncio.ensure_future(client.response())
+            response = asyncio.ensure_future(client.read_response())
             while not response.done():
                 if connection.reading.is_paused:
                     assert len(connection.queue) <= MAX_PIPELINED
                     harness.gateway.server.sweep(now_ns())
                 await asyncio.sleep(0)
             assert response.result()[0] == 400
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
 
 
 async def test_an_upgrade_whose_error_waits_for_a_sweep_gets_its_response() -> None:
@@ -118,7 +118,7 @@
         client = await harness.client()
         invalid = request(request_id="")
         client.send(invalid + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
-        assert [(await client.response())[0] for _ in range(2)] == [400, 400]
+        assert [(await client.read_response())[0] for _ in range(2)] == [400, 400]
         assert await client.reader.read() == b""
 
 
@@ -132,5 +132,5 @@
         received = await endpoint.received.get()
         await wait_until(lambda: harness.gateway.server.busy_connections == 1)
         received.reply()
-        assert [(await client.response())[0] for _ in range(2)] == [200, 400]
+        assert [(await client.read_response())[0] for _ in range(2)] == [200, 400]
         assert await client.reader.read() == b""
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -37,7 +37,7 @@
         forwarded.sort(key=lambda item: item.headers["x-request-id"])
         for connection_header, item in zip((None, "close"), forwarded, strict=True):
             item.reply()
-            status, headers, _ = await client.response()
+            status, headers, _ = await client.read_response()
             assert (status, headers.get("connection")) == (200, connection_header)
         assert await client.reader.read() == b""
 
--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -105,7 +105,7 @@
             for name, _, value in (field.partition(b":") for field in fields)
         ]
         client.send(b"\r\n".join([line, *spaced]) + b"\r\n\r\n" + body)
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
         forwarded = await endpoint.received.get()
         assert (forwarded.headers["x-request-id"], forwarded.headers["idempotency-key"]) == ("r1", "kr1")
         assert forwarded.body == b"some body"
@@ -121,7 +121,7 @@
         forwarded = await endpoint.received.get()
         assert (await second.exchange(request()))[0] == 400
         forwarded.reply()
-        assert (await first.response())[0] == 200
+        assert (await first.read_response())[0] == 200
         age_idle_connections(harness.gateway.upstream)  # allows the endpoint connection to be reused
         second.send(request())
         assert (await forwarded.reader.readline()).startswith(
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -137,7 +137,7 @@
         for _ in range(2):
             (await endpoint.received.get()).reply(CLOSING_RESPONSE)
         for connection in (sent, waiting, client):
-            assert (await connection.response())[::2] == (200, b"done")
+            assert (await connection.read_response())[::2] == (200, b"done")
         balancer: Any = dispatcher.balancer
         assert [tenant and tenant.quota_per_s for tenant in balancer.tenants.quotas] == [7.0, None]
         assert balancer.settings.over_quota_weight == 0.5
@@ -164,7 +164,7 @@
         assert opened.objective_ns == 6_000_000_000
         assert opened.traffic_class not in balancer.classes
         received.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         client.send(request("once", request_id="next"))
         assert (await endpoint.received.get()).first_line.startswith("POST /once")
         [opened] = balancer.lifecycle.requests.values()
@@ -211,7 +211,7 @@
         client = await file.harness.client()
         client.send(request())
         (await endpoint.received.get()).reply()
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
     [line] = [record.getMessage() for record in caplog.records if "EDGE_CONFIG" in record.getMessage()]
     assert message in line
     assert "stay" in line
@@ -250,7 +250,7 @@
         await file.wait_for(ReloadState.COMPARING)
         client.send(request())
         (await endpoint.received.get()).reply()
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert file.state() is ReloadState.COMPARING
         await file.wait_for(ReloadState.IDLE)
         assert len(file.tenant_names()) == 20_001
@@ -274,11 +274,11 @@
     client = await connect(address)
     assert (await client.exchange(request(request_id="late")))[0] == 400  # removed, with one request open
     received.reply()
-    assert (await busy.response())[::2] == (200, b"done")
+    assert (await busy.read_response())[::2] == (200, b"done")
     client = await connect(address)
     client.send(request(request_id="r2", X_Tenant_Id="new"))
     (await endpoint.received.get()).reply()
-    assert (await client.response())[0] == 200
+    assert (await client.read_response())[0] == 200
     process.send_signal(signal.SIGHUP)
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -40,7 +40,7 @@
         client.send(request("once"))
         client.writer.write_eof()
         (await endpoint.received.get()).reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         assert await client.reader.read() == b""
 
 
@@ -56,7 +56,7 @@
             lambda: all(item.client_closing for item in harness.gateway.dispatcher.open_requests())
         )
         received.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
-        assert (await client.response())[0] == 502
+        assert (await client.read_response())[0] == 502
         assert endpoint.received.empty()
 
 
@@ -107,7 +107,7 @@
         client.send(request())
         first, second = await endpoint.received.get(), await endpoint.received.get()
         second.reply()
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
         await first.wait_closed()
         assert not harness.gateway.dispatcher.open_requests()
 
@@ -245,6 +245,6 @@
         received = await endpoint.received.get()
         assert (await second.exchange(request("once", request_id="r2", body=b"x" * 60_000)))[0] == 503
         received.reply()
-        assert (await first.response())[0] == 200
+        assert (await first.read_response())[0] == 200
         await wait_until(lambda: not dispatcher.open_requests())
         assert dispatcher.requests.open_bytes == 0
--- a/tests/gateway/test_event_loop_stalls.py
+++ b/tests/gateway/test_event_loop_stalls.py
@@ -55,7 +55,7 @@
         sender.send(request(request_id="old", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
         program.send_signal(signal.SIGCONT)
-        assert (await sender.response())[0] == 503
+        assert (await sender.read_response())[0] == 503
         assert (await sender.exchange(request(request_id="next", X_Timeout_Ms=str(10 * SHORT_TIMEOUT_MS))))[
             0
         ] == 200
@@ -72,7 +72,7 @@
             waiting_client.send(request(request_id=f"old{number}", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
         program.send_signal(signal.SIGCONT)
-        assert [(await waiting_client.response())[0] for waiting_client in clients] == [503] * 60
+        assert [(await waiting_client.read_response())[0] for waiting_client in clients] == [503] * 60
         assert endpoint.received.empty()
 
 
@@ -83,7 +83,7 @@
         client.send(request(request_id="old", X_Timeout_Ms="5000"))
         await asyncio.sleep(STALL_S)
         program.send_signal(signal.SIGCONT)
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
         timeout_ms = int((await endpoint.received.get()).headers["x-timeout-ms"])
         assert timeout_ms <= 5000 - 1000 * STALL_S
 
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -66,7 +66,7 @@
     received = await endpoint.received.get()
     received.reply(RESPONSE_WITHOUT_LENGTH)
     end_connection(received, with_reset)
-    status, _, body = await client.response()
+    status, _, body = await client.read_response()
     process.kill()
     await process.wait()
     assert (status, body) == ((502, b"failed\n") if with_reset else (200, b"done"))
@@ -100,6 +100,6 @@
             monkeypatch.setattr(f"gateway.{module}.now_ns", lambda: now_ns() + 150 * MS)
         for received in received_requests:
             received.reply()
-        statuses = [(await client.response())[0] for _ in range(MAX_PIPELINED + 1)]
+        statuses = [(await client.read_response())[0] for _ in range(MAX_PIPELINED + 1)]
         assert statuses == [200] * MAX_PIPELINED + [503]
         assert endpoint.received.empty()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -63,10 +63,10 @@
     status, headers, _ = await late.exchange(HEALTH_CHECK)
     assert (status, headers["connection"]) == (503, "close")
     received.reply(CLOSING_RESPONSE)
-    assert (await busy.response())[0] == 200
+    assert (await busy.read_response())[0] == 200
     busy.send(request(request_id="r2"))  # open connections are still served
     (await endpoint.received.get()).reply()
-    assert (await busy.response())[0] == 200
+    assert (await busy.read_response())[0] == 200
     assert await busy.reader.read() == b""  # and finally closed
     late.writer.close()
     assert await process.wait() == 0
@@ -94,15 +94,15 @@
         pass
     sent.writer.write(request(request_id="next"))  # pipelined, before the first response
     received.reply(CLOSING_RESPONSE)
-    assert (await sent.response())[::2] == (200, b"done")
+    assert (await sent.read_response())[::2] == (200, b"done")
     forwarded = []
     for _ in range(2):
         received = await endpoint.received.get()
         forwarded.append(received.headers["x-request-id"])
         received.reply(CLOSING_RESPONSE)
     assert sorted(forwarded) == ["next", "waiting"]
-    assert (await waiting.response())[::2] == (200, b"done")
-    assert (await sent.response())[::2] == (200, b"done")
+    assert (await waiting.read_response())[::2] == (200, b"done")
+    assert (await sent.read_response())[::2] == (200, b"done")
     assert await waiting.reader.read() == await sent.reader.read() == b""  # one response each
     assert await process.wait() == 0
     assert endpoint.received.empty()
@@ -120,12 +120,12 @@
         pass
     first.send(request())
     (await endpoint.received.get()).reply(CLOSING_RESPONSE)
-    assert (await first.response())[0] == 200
+    assert (await first.read_response())[0] == 200
     second.send(request(request_id="r2"))
     received = await endpoint.received.get()
     assert await first.reader.read() == b""  # the draining phase has begun
     received.reply()
-    status, headers, _ = await second.response()
+    status, headers, _ = await second.read_response()
     assert (status, headers["connection"]) == (200, "close")
     second.writer.close()
     assert await process.wait() == 0
@@ -153,7 +153,7 @@
     process.send_signal(signal.SIGHUP)  # also during a shutdown
     await third.calls.get()
     received.reply()
-    assert (await client.response())[0] == 200
+    assert (await client.read_response())[0] == 200
     assert await process.wait() == 0
 
 
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -83,7 +83,7 @@
         client = await harness.client()
         client.send(request(request_id="timed-out", X_Timeout_Ms="60"))
         received = await endpoint.received.get()
-        assert (await client.response())[0] in (502, 503)
+        assert (await client.read_response())[0] in (502, 503)
         await received.wait_closed()
         client.send(request(request_id="abandoned"))
         await endpoint.received.get()
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -118,7 +118,7 @@
         client.send(request(request_id="r0"))
         first = await endpoint.received.get()
         first.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         [upstream_endpoint] = harness.gateway.upstream.endpoints.values()
         # The connection is too recent for the next request, even if this machine is slow.
         upstream_endpoint.idle[0].idle_since_ns += 60 * SECOND
@@ -128,7 +128,7 @@
         first.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother")
         await first.wait_closed()  # by then the gateway has read the late response
         second.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
 
 
 async def test_unexpected_data_closes_an_idle_connection() -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -206,7 +206,7 @@
         """Write bytes to the gateway."""
         self.writer.write(data)
 
-    async def response(self) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """Read the next response; return its status, headers and body."""
         status_line, headers, body = await read_message(self.reader)
         return int(status_line.split()[1]), headers, body
@@ -214,7 +214,7 @@
     async def exchange(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
         """Send a request; return the status, headers and body of its response."""
         self.send(data)
-        return await self.response()
+        return await self.read_response()
 
 
 def request(
