--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -35,7 +35,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
-        data = request("once", drop="Content-Length", Transfer_Encoding="chunked")
+        data = request("once", omit_header="Content-Length", Transfer_Encoding="chunked")
         data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
         assert (await (await harness.client()).exchange(data))[0] == 200
         forwarded = await endpoint.received.get()
@@ -76,7 +76,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(endpoint)
-        head = request("once", drop="Content-Length")[:-2]
+        head = request("once", omit_header="Content-Length")[:-2]
         data = head + lines + b"\r\n0\r\n\r\n" + HIDDEN_REQUEST
         client = await harness.client()
         client.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -100,7 +100,7 @@
         await harness.begin(FakeEndpoint())
         client = await harness.client()
         assert (await client.exchange(request(request_id="good-one")))[0] == 200
-        assert (await client.exchange(request(request_id="bad-one", drop="X-Tenant-Id")))[0] == 400
+        assert (await client.exchange(request(request_id="bad-one", omit_header="X-Tenant-Id")))[0] == 400
         client.send(b"GET /half")
         client.writer.close()
         await wait_until(lambda: not harness.gateway.server.open_connections)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -220,14 +220,15 @@
 def request(
     class_name: str = "read",
     request_id: str = "r1",
-    drop: str = "",
+    omit_header: str = "",
     body: bytes = b"",
     path: str = "/x?q=1",
     **headers: str,
 ) -> bytes:
     """Return a request of a client, as bytes.
 
-    `request_id` is its X-Request-ID; `drop` names a header to omit; `headers` are added, with `_` for `-`.
+    `request_id` is its X-Request-ID; `omit_header` names a header to omit; `headers` are added, with
+    `_` for `-`.
     """
     lines = {
         "Host": "app.svc",
@@ -241,7 +242,7 @@
     if class_name != "read":
         lines["Content-Length"] = str(len(body))
     lines.update({name.replace("_", "-"): value for name, value in headers.items()})
-    lines.pop(drop, None)
+    lines.pop(omit_header, None)
     method = "GET" if class_name == "read" else "POST"
     head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
     return f"{method} /{class_name}{path} HTTP/1.1\r\n{head}\r\n".encode() + body
