--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -124,9 +124,8 @@
     harness.list_endpoint(endpoint.address)
     _, result = harness.start()
     received = await endpoint.received.get()
-    received.reply(
-        OK_RESPONSE + b" and the rest of it"
-    )  # Content-Length may be too small, or this is unrelated data
+    # Content-Length may be too small, or the rest is unrelated data.
+    received.reply(OK_RESPONSE + b" and the rest of it")
     assert await result == (Outcome.INVALID_RESPONSE, None)
     await received.wait_closed()
 
