--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -82,7 +82,7 @@
 async def test_response_maps_to_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(reply)
     if closes:
@@ -96,7 +96,7 @@
 async def test_reset_does_not_complete_a_response_without_a_length(length: int) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nthe whole of the body"[:length])
     sock = received.writer.get_extra_info("socket")
@@ -112,7 +112,7 @@
         (OK_RESPONSE, b"HTTP/1.1 503 " + REJECTION, Outcome.OK),
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", OK_RESPONSE, Outcome.ERROR),
     ):
-        _, result = harness.start()
+        _, result = harness.start_attempt()
         received = await endpoint.received.get()
         received.reply(first + second)
         assert (await result)[0] is outcome
@@ -122,7 +122,7 @@
 async def test_response_followed_by_other_data_is_invalid() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     # Content-Length may be too small, or the rest is unrelated data.
     received.reply(OK_RESPONSE + b" and the rest of it")
@@ -133,7 +133,7 @@
 async def test_large_body_in_pieces_does_not_count_towards_the_head() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 30000)
     await received.writer.drain()
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -27,17 +27,17 @@
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
     for _ in range(2 * MAX_OPEN):
-        attempt, result = harness.start()
+        attempt, result = harness.start_attempt()
         harness.upstream.cancel_attempt(attempt)
         assert (await result)[0] is Outcome.CANCELLED
-    assert (await harness.start()[1])[0] is Outcome.OK
+    assert (await harness.start_attempt()[1])[0] is Outcome.OK
 
 
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
 async def test_connections_are_not_reused_after_the_endpoint_changed(change: str) -> None:
     harness, endpoint, second = UpstreamHarness(), await FakeEndpoint().start(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
-    assert (await harness.start()[1])[0] is Outcome.OK
+    assert (await harness.start_attempt()[1])[0] is Outcome.OK
     age_idle_connections(harness.upstream)  # old enough to be reused
     received = await endpoint.received.get()
     if change == "gone":
@@ -46,21 +46,21 @@
         second.address if change == "move" else endpoint.address, started_ns=5 if change == "restart" else 0
     )
     await received.wait_closed()
-    assert (await harness.start()[1])[0] is Outcome.OK
+    assert (await harness.start_attempt()[1])[0] is Outcome.OK
     assert endpoint.connections + second.connections == 2
 
 
 async def test_newest_connection_is_reused_and_old_idle_ones_are_closed() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    results = [harness.start()[1] for _ in range(2)]
+    results = [harness.start_attempt()[1] for _ in range(2)]
     received = [await endpoint.received.get() for _ in range(2)]
     for item, result in zip(received, results, strict=True):
         item.reply()
         assert (await result)[0] is Outcome.OK
     age_idle_connections(harness.upstream)
     harness.upstream.sweep(now_ns() + 8 * SECOND)
-    third_attempt, result = harness.start()
+    third_attempt, result = harness.start_attempt()
     assert (await received[1].reader.readline()).startswith(b"GET ")  # the one that became idle last
     harness.upstream.cancel_attempt(third_attempt)
     harness.upstream.sweep(now_ns() + 10 * SECOND)  # the endpoint would close after 15 s
@@ -74,7 +74,7 @@
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
-        _, result = harness.start()
+        _, result = harness.start_attempt()
         old_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(old_socket, 1000)
         await loop.sock_sendall(old_socket, OK_RESPONSE)
@@ -85,7 +85,7 @@
         else:
             old_socket.close()
         age_idle_connections(harness.upstream)  # otherwise too recent to be reused
-        _, result = harness.start()
+        _, result = harness.start_attempt()
         new_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(new_socket, 1000)
         await loop.sock_sendall(new_socket, OK_RESPONSE)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -19,7 +19,7 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))  # bound, but not listening
         harness.list_endpoint(address_of(free))
-        assert (await harness.start()[1])[0] is Outcome.CONNECT_FAILED
+        assert (await harness.start_attempt()[1])[0] is Outcome.CONNECT_FAILED
 
 
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
@@ -28,7 +28,7 @@
     listener, fill, address = full_listener()
     with listener:
         harness.list_endpoint(address)
-        _, result = harness.start(within)
+        _, result = harness.start_attempt(within)
         assert (await result)[0] is Outcome.CONNECT_FAILED
         listener.setblocking(False)
         for sock in fill:
@@ -45,7 +45,7 @@
 async def test_no_request_is_sent_to_an_endpoint_that_drained_during_the_connect() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     harness.list_endpoint(endpoint.address, EndpointState.DRAINING)
     assert (await result)[0] is Outcome.CONNECT_FAILED
     assert endpoint.received.empty()
@@ -55,7 +55,7 @@
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener(receive_buffer=4096) as listener:
         harness.list_endpoint(address_of(listener))
-        _, result = harness.start(body=b"x" * 20_000_000)
+        _, result = harness.start_attempt(body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 100)
         accepted.close()  # unread data makes this a reset
@@ -66,7 +66,7 @@
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
-        _, result = harness.start(300 * MS, body=b"x" * 20_000_000)
+        _, result = harness.start_attempt(300 * MS, body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
             assert (await result)[0] is Outcome.CONNECT_FAILED
@@ -75,12 +75,12 @@
 async def test_cancellation_and_timeout_close_the_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    attempt, result = harness.start()
+    attempt, result = harness.start_attempt()
     received = await endpoint.received.get()
     harness.upstream.cancel_attempt(attempt)
     assert (await result)[0] is Outcome.CANCELLED
     await received.wait_closed()
-    _, result = harness.start(900 * MS)
+    _, result = harness.start_attempt(900 * MS)
     received = await endpoint.received.get()
     assert 1 <= int(received.headers["x-timeout-ms"]) <= 900
     assert (await result)[0] is Outcome.TIMEOUT
@@ -93,7 +93,7 @@
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
         harness.list_endpoint(address_of(listener))
-        attempt, result = harness.start()
+        attempt, result = harness.start_attempt()
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
             await loop.sock_recv(accepted, 1000)
@@ -134,12 +134,12 @@
 async def test_unexpected_data_closes_an_idle_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(OK_RESPONSE + OK_RESPONSE)
     assert (await result)[0] is Outcome.OK
     await received.wait_closed()
-    _, result = harness.start()
+    _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply()
     assert (await result)[0] is Outcome.OK
@@ -149,7 +149,7 @@
 
 async def test_illegal_transition_is_logged_and_ignored(caplog: pytest.LogCaptureFixture) -> None:
     harness, endpoint = UpstreamHarness(), UpstreamEndpoint()
-    attempt, _ = harness.start()
+    attempt, _ = harness.start_attempt()
     connection = EndpointConnection(harness.upstream, endpoint, attempt)
     connection.mark_idle(0)
     assert connection.state is ConnectionState.CONNECTING
@@ -159,7 +159,7 @@
 async def test_states_of_a_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
     harness.list_endpoint(endpoint.address)
-    attempt, result = harness.start()
+    attempt, result = harness.start_attempt()
     connection = attempt.connection
     assert connection is not None
     states = [connection.state]
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -33,10 +33,10 @@
         entry = EndpointEntry("h0", 0, 0, 0, state, 1.0, started_ns)
         self.upstream.apply_endpoint_list(False, [ListedEndpoint(entry, (host, int(port)))])
 
-    def start(
-        self, within: int = 9 * SECOND, body: bytes = b""
+    def start_attempt(
+        self, timeout_ns: int = 9 * SECOND, body: bytes = b""
     ) -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
-        """Start an attempt that expires after `within` ns; return it and the future of its outcome."""
+        """Start an attempt that expires after `timeout_ns`; return it and the future of its outcome."""
         result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
         attempt = Attempt(
@@ -44,7 +44,7 @@
             0,
             Payload(REQUEST_HEAD + b"Content-Length: %d\r\n" % len(body), body),
             now,
-            now + within,
+            now + timeout_ns,
             lambda _, outcome, response: result.set_result((outcome, response)),
         )
         self.timers.call_at(attempt.deadline_ns, self._expire, attempt)
