--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -14,7 +14,7 @@
 async def test_ready_only_once_an_endpoint_is_known() -> None:
     async with GatewayHarness() as harness:
         endpoint = await FakeEndpoint().start()
-        await harness.begin(rows=[])
+        await harness.begin(entries=[])
         client = await harness.client()
         readiness_check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.exchange(readiness_check))[0] == 503
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -101,7 +101,7 @@
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
         delays_ns: list[int] = []
         await harness.begin(
-            rows=[],
+            entries=[],
             make=fast_balancer(delays_ns),
             configuration={"seed": f"{number:x}"},
             discovery=mode,
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -258,12 +258,12 @@
     async def begin(
         self,
         *endpoints: FakeEndpoint,
-        rows: list[dict[str, Any]] | None = None,
+        entries: list[dict[str, Any]] | None = None,
         make: BalancerFactory = Balancer,
         configuration: dict[str, Any] | None = None,
         **settings: Any,
     ) -> GatewayHarness:
-        """Start a gateway whose cached endpoint list holds these endpoints, or `rows` instead.
+        """Start a gateway whose cached endpoint list holds these endpoints, or `entries` instead.
 
         `configuration` replaces sections of its configuration, `settings` keys of its settings; `make`
         creates its balancer.
@@ -280,7 +280,9 @@
             "known": {
                 "generation": 41,
                 "reset": True,
-                "instances": [endpoint.make_entry() for endpoint in endpoints] if rows is None else rows,
+                "instances": [endpoint.make_entry() for endpoint in endpoints]
+                if entries is None
+                else entries,
             },
             "settings": {**SETTINGS, **settings},
             **(configuration or {}),
