--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -35,7 +35,7 @@
 async def test_connections_above_the_limit_get_a_rejection() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         harness.gateway.server.max_connections = 2
         busy = [await harness.client() for _ in range(2)]
         for number, client in enumerate(busy):
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -178,7 +178,7 @@
     """The balancer sends an attempt on a timer or another event, which may be handled before the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.begin(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -198,7 +198,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.begin(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -227,7 +227,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.begin(
-            endpoint, make=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
+            endpoint, make_balancer=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
         )
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
@@ -274,7 +274,7 @@
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=SendsOnTimer)
+        await harness.begin(FakeEndpoint(), make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, MAX_PIPELINED)
@@ -298,7 +298,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.begin(endpoint, make_balancer=SendsOnTimer)
         client, _ = await send_requests(harness, MAX_PIPELINED)
         client.sock.sendall(more)
         close_client(client)
@@ -312,7 +312,7 @@
 @each_unread_close
 async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=SendsOnTimer)
+        await harness.begin(FakeEndpoint(), make_balancer=SendsOnTimer)
         client = BlockingClient(harness.where)
         client.sock.sendall(request(Connection="close"))
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
@@ -332,7 +332,7 @@
     """The client may have left long ago.  A reset is not tested, as it discards unread data."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         client = BlockingClient(harness.where)
         flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -16,7 +16,7 @@
 async def test_responses_have_the_order_of_their_requests() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(3)))
         forwarded = [await endpoint.received.get() for _ in range(3)]
@@ -38,7 +38,7 @@
 async def test_pipelined_requests_above_the_limit_are_rejected() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(100)))
         forwarded = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
@@ -126,7 +126,7 @@
     """When EOF was sent while an earlier request was open, its response could not be written."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(request(request_id="open") + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
         received = await endpoint.received.get()
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -28,7 +28,7 @@
 async def test_pipelined_requests_all_get_a_response_at_a_graceful_shutdown() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SingleAttemptBalancer)
+        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(request(request_id="r0") + request(request_id="r1"))
         forwarded = [await endpoint.received.get() for _ in range(2)]
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -102,7 +102,7 @@
         delays_ns: list[int] = []
         await harness.begin(
             entries=[],
-            make=fast_balancer(delays_ns),
+            make_balancer=fast_balancer(delays_ns),
             configuration={"seed": f"{number:x}"},
             discovery=mode,
             **SETTINGS,
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -259,14 +259,14 @@
         self,
         *endpoints: FakeEndpoint,
         entries: list[dict[str, Any]] | None = None,
-        make: BalancerFactory = Balancer,
+        make_balancer: BalancerFactory = Balancer,
         configuration: dict[str, Any] | None = None,
         **settings: Any,
     ) -> GatewayHarness:
         """Start a gateway whose cached endpoint list holds these endpoints, or `entries` instead.
 
-        `configuration` replaces sections of its configuration, `settings` keys of its settings; `make`
-        creates its balancer.
+        `configuration` replaces sections of its configuration, `settings` keys of its settings;
+        `make_balancer` creates its balancer.
         """
         self.discovery = await FakeDiscovery().start()
         for endpoint in endpoints:
@@ -291,7 +291,7 @@
             json.dump(config, file)
             file.flush()
             self.gateway = Gateway(
-                Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make
+                Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make_balancer
             )
         self.where = await self.gateway.start()
         return self
