--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -19,7 +19,7 @@
 
 async def test_connections_of_slow_and_unused_clients_are_closed() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         slow, idle = await harness.client(), await harness.client()
         slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
         await wait_until(
@@ -35,7 +35,7 @@
 async def test_connections_above_the_limit_get_a_rejection() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         harness.gateway.server.max_connections = 2
         busy = [await harness.client() for _ in range(2)]
         for number, client in enumerate(busy):
@@ -51,7 +51,7 @@
 
 async def test_idle_connections_of_clients_that_sent_one_request_are_closed() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         clients = [await harness.client() for _ in range(20)]
         for number, client in enumerate(clients):
             assert (await client.exchange(request(request_id=f"r{number}")))[0] == 200
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("sent", [b"", b"GET /health/ready HTTP/1.1\r\n\r\n", request(request_id="")])
 async def test_many_useless_connections_do_not_displace_a_useful_one(sent: bytes) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 5
         useful = await harness.client()
         assert (await useful.exchange(request()))[0] == 200
@@ -82,7 +82,7 @@
 async def test_a_connection_whose_first_request_stalls_is_evicted() -> None:
     """Without eviction incomplete requests took all slots: 148 of 174 requests of other clients failed."""
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 3
         useful = await harness.client()
         assert (await useful.exchange(request()))[0] == 200
@@ -99,7 +99,7 @@
 
 async def test_a_connection_whose_first_request_has_just_begun_is_not_evicted() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 2
         incomplete = [await harness.client() for _ in range(2)]
         for number, client in enumerate(incomplete):
@@ -113,7 +113,7 @@
 
 async def test_responses_close_their_connections_when_half_the_slots_are_taken() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 4
         first, second = await harness.client(), await harness.client()
         assert "connection" not in (await first.exchange(request()))[1]
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -64,7 +64,7 @@
 async def test_a_request_that_waited_for_capacity_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         busy, closing_client = await harness.client(), await harness.client()
         busy.send(request(request_id="busy"))
         forwarded = await endpoint.received.get()
@@ -83,7 +83,7 @@
 async def test_a_request_that_waited_for_its_gap_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoints = FakeEndpoint("h0", reply=None), FakeEndpoint("h1", reply=None)
-        await harness.begin(*endpoints, **SHORT_OBJECTIVES)
+        await harness.start(*endpoints, **SHORT_OBJECTIVES)
         dispatcher, timers = harness.gateway.dispatcher, harness.gateway.timers
         client = await harness.client()
         client.send(request(request_id="left"))
@@ -108,7 +108,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
+        await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         connects = DelayedConnects(monkeypatch, endpoint)
         client = await harness.client()
         client.send(request(request_id="left"))
@@ -124,7 +124,7 @@
 async def test_a_half_closed_client_gets_the_response_to_an_attempt_that_was_sent() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request())
         forwarded = await endpoint.received.get()
@@ -178,7 +178,7 @@
     """The balancer sends an attempt on a timer or another event, which may be handled before the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -198,7 +198,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -226,7 +226,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(
+        await harness.start(
             endpoint, make_balancer=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
         )
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
@@ -252,7 +252,7 @@
     """Without this check three of four requests were still forwarded 0.17 s after the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
+        await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         dispatcher = harness.gateway.dispatcher
         connects = UnreportedConnects(monkeypatch, endpoint)
         client = await harness.client()
@@ -274,7 +274,7 @@
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make_balancer=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, MAX_PIPELINED)
@@ -298,7 +298,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         client, _ = await send_requests(harness, MAX_PIPELINED)
         client.sock.sendall(more)
         close_client(client)
@@ -312,7 +312,7 @@
 @each_unread_close
 async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make_balancer=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
         client = BlockingClient(harness.where)
         client.sock.sendall(request(Connection="close"))
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
@@ -332,7 +332,7 @@
     """The client may have left long ago.  A reset is not tested, as it discards unread data."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = BlockingClient(harness.where)
         flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -14,7 +14,7 @@
 
 async def test_an_upgrade_is_ignored() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(reply=OK_RESPONSE))
+        await harness.start(FakeEndpoint(reply=OK_RESPONSE))
         client = await harness.client()
         assert (await client.exchange(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
         assert await client.reader.read() == b""
@@ -22,7 +22,7 @@
 
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         message = request("once", body=b"some body", Expect="100-continue")
         client.send(message[:-9])
@@ -34,7 +34,7 @@
 async def test_trailers_are_not_taken_for_headers() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         data = request("once", omit_header="Content-Length", Transfer_Encoding="chunked")
         data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
         assert (await (await harness.client()).exchange(data))[0] == 200
@@ -75,7 +75,7 @@
 async def test_a_request_hidden_in_ambiguous_framing_is_not_forwarded(lines: bytes, in_bytes: bool) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         head = request("once", omit_header="Content-Length")[:-2]
         data = head + lines + b"\r\n0\r\n\r\n" + HIDDEN_REQUEST
         client = await harness.client()
@@ -91,7 +91,7 @@
 
 async def test_bytes_after_a_framing_error_are_not_read() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         client.send(request("once", Content_Length="60000000"))
         assert (await client.read_response())[0] == 413
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -16,7 +16,7 @@
 async def test_responses_have_the_order_of_their_requests() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(3)))
         forwarded = [await endpoint.received.get() for _ in range(3)]
@@ -28,7 +28,7 @@
 
 async def test_every_one_of_many_pipelined_requests_gets_a_response() -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(200)))
         for _ in range(200):
@@ -38,7 +38,7 @@
 async def test_pipelined_requests_above_the_limit_are_rejected() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(100)))
         forwarded = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
@@ -53,7 +53,7 @@
     monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         invalid = request(request_id="")
         assert (await client.exchange(invalid))[0] == 400
@@ -79,7 +79,7 @@
 
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         for _ in range(errors):
             client.send(request(request_id=""))
@@ -95,7 +95,7 @@
     monkeypatch.setattr("gateway.gateway.SWEEP", 3600 * SECOND)
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         client.send(request(request_id="") * 300 + request(request_id="good"))
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
@@ -114,7 +114,7 @@
 async def test_an_upgrade_whose_error_waits_for_a_sweep_gets_its_response() -> None:
     """When EOF was sent before the deferred error was written, every sweep of the gateway failed."""
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         invalid = request(request_id="")
         client.send(invalid + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
@@ -126,7 +126,7 @@
     """When EOF was sent while an earlier request was open, its response could not be written."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(request(request_id="open") + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
         received = await endpoint.received.get()
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -14,7 +14,7 @@
 async def test_ready_only_once_an_endpoint_is_known() -> None:
     async with GatewayHarness() as harness:
         endpoint = await FakeEndpoint().start()
-        await harness.begin(entries=[])
+        await harness.start(entries=[])
         client = await harness.client()
         readiness_check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.exchange(readiness_check))[0] == 503
@@ -28,7 +28,7 @@
 async def test_pipelined_requests_all_get_a_response_at_a_graceful_shutdown() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         client.send(request(request_id="r0") + request(request_id="r1"))
         forwarded = [await endpoint.received.get() for _ in range(2)]
@@ -46,7 +46,7 @@
     """When one exception ended all sweeps, no idle or slow connection was closed any more."""
     monkeypatch.setattr("gateway.gateway.SWEEP", MS)
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         sweeps = 0
 
         def fail(_now: int) -> None:
--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -13,7 +13,7 @@
 async def test_a_request_is_forwarded_unchanged() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         assert (await (await harness.client()).exchange(KEYED_REQUEST))[::2] == (200, b"done")
         forwarded = await endpoint.received.get()
         assert (forwarded.first_line, forwarded.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
@@ -76,7 +76,7 @@
 async def test_an_invalid_request_gets_an_error_and_is_not_forwarded(status: int, data: bytes) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         assert (await (await harness.client()).exchange(data))[0] == status
         assert (await (await harness.client()).exchange(request(request_id="good")))[0] == 200
         assert (await endpoint.received.get()).headers["x-request-id"] == "good"
@@ -87,7 +87,7 @@
     async with GatewayHarness() as harness:
         body = bytes(range(256)) * 256
         endpoint = FakeEndpoint(reply=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         assert (await (await harness.client()).exchange(request("once", body=body)))[::2] == (200, body)
         assert (await endpoint.received.get()).body == body
 
@@ -98,7 +98,7 @@
     """HTTP allows white space there; a tenant name with a space after it was taken for another tenant."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         head, _, body = KEYED_REQUEST.partition(b"\r\n\r\n")
         line, *fields = head.split(b"\r\n")
@@ -117,7 +117,7 @@
 async def test_the_id_of_an_open_request_is_not_accepted_again() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         first, second = await harness.client(), await harness.client()
         first.send(request())
         forwarded = await endpoint.received.get()
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -24,7 +24,7 @@
     request_count = 0
 
     def make_balancer(self, settings: Settings, seed: int, actions: Actions) -> Balancer:
-        """Create a balancer that counts requests; passed to `begin`."""
+        """Create a balancer that counts requests; passed to `start`."""
         harness = self
 
         class CountingBalancer(Balancer):
@@ -78,7 +78,7 @@
     """Covers one endpoint of three that got the limit of all and was overloaded before its delay rose."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make_balancer=harness.make_balancer)
+        await harness.start(*endpoints, make_balancer=harness.make_balancer)
         watch = await DiscoveryWatch.accept(harness)
         await watch.notify(*(endpoint.make_entry("terminating") for endpoint in endpoints[1:]))
         await harness.send("r1", "r2", "r3", "r4")
@@ -89,7 +89,7 @@
     """Covers a limit still scaled to fewer endpoints, which filled idle endpoints only over seconds."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make_balancer=harness.make_balancer, entries=[])
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
         await watch.notify(endpoints[0].make_entry())
         await watch.notify(*(endpoint.make_entry() for endpoint in endpoints[1:]))
@@ -101,7 +101,7 @@
     """Covers attempts at a draining or silent endpoint that left its successor idle until they ended."""
     old, new = FakeEndpoint("old", reply=None), FakeEndpoint("new", reply=None)
     async with CountingHarness() as harness:
-        await harness.begin(old, new, make_balancer=harness.make_balancer, entries=[])
+        await harness.start(old, new, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
         await watch.notify(old.make_entry())
         await harness.send("r1")
@@ -116,7 +116,7 @@
     """Covers a starting gateway that queued 100 requests and rejected as many while endpoints were idle."""
     endpoint = FakeEndpoint(reply=None)
     async with CountingHarness() as harness:
-        await harness.begin(endpoint, make_balancer=harness.make_balancer)
+        await harness.start(endpoint, make_balancer=harness.make_balancer)
         await harness.send(*(f"r{number}" for number in range(40)))
         for _ in range(20):
             (await endpoint.received.get()).reply(CLOSING_RESPONSE)
@@ -132,7 +132,7 @@
             "over-share-worth": 0.1,
             "realms": [{"name": "acme", "portion": 1.0, "allowance-per-s": 0.01}],
         }
-        await harness.begin(*endpoints, make_balancer=harness.make_balancer, entries=[], **quotas)
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[], **quotas)
         watch = await DiscoveryWatch.accept(harness)
         await watch.notify(
             endpoints[0].make_entry(), *(endpoint.make_entry(zone="b") for endpoint in endpoints[1:])
@@ -146,7 +146,7 @@
 async def test_few_gateways_poll_soon_after_a_start_with_cached_endpoints() -> None:
     """Covers a gateway that used only 6 cached endpoints of 10 for 1.8 s after its start, to limit polls."""
     async with CountingHarness() as harness:
-        await harness.begin(FakeEndpoint(), rules={"ask-within-ns": 60_000_000_000})
+        await harness.start(FakeEndpoint(), rules={"ask-within-ns": 60_000_000_000})
         # The delay is random within 0.5 s; within 15 s it would be 4.9 s.
         await asyncio.wait_for(harness.discovery.calls.get(), 3.0)
 
@@ -155,7 +155,7 @@
     """Covers an overloaded endpoint that lowered the limit of the pool until idle ones got nothing."""
     endpoints = [FakeEndpoint(f"h{number}") for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make_balancer=harness.make_balancer, entries=[])
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
         overloaded, *others = endpoints
         await watch.notify(
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -77,7 +77,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, **more)
+        await harness.start(endpoint, **more)
         yield ConfigurationFile(harness, path), endpoint
 
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -143,7 +143,7 @@
 async def test_endpoint_list_updates_open_and_close_connections() -> None:
     async with GatewayHarness() as harness:
         endpoint, other = FakeEndpoint("h0"), FakeEndpoint("h1")
-        await harness.begin(endpoint, other, entries=[])
+        await harness.start(endpoint, other, entries=[])
         client = await harness.client()
         _, writer = await harness.discovery.calls.get()
         harness.discovery.start_watch_response(writer)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -35,7 +35,7 @@
 async def test_a_half_closed_client_gets_its_response() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request("once"))
         client.writer.write_eof()
@@ -47,7 +47,7 @@
 async def test_no_attempt_starts_for_a_half_closed_client() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request())
         received = await endpoint.received.get()
@@ -63,7 +63,7 @@
 async def test_the_attempts_of_a_disconnected_client_are_cancelled() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request())
         received = await endpoint.received.get()
@@ -88,7 +88,7 @@
     balancer: type[StubBalancer], status: int, retry_after: str | None
 ) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make_balancer=balancer)
+        await harness.start(FakeEndpoint(), make_balancer=balancer)
         client, started_ns = await harness.client(), now_ns()
         got_status, headers, _ = await client.exchange(request(X_Timeout_Ms="1000"))
         assert (got_status, headers.get("retry-after")) == (status, retry_after)
@@ -102,7 +102,7 @@
 async def test_the_other_attempt_is_cancelled_when_one_is_served() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=DuplicateAttemptBalancer)
+        await harness.start(endpoint, make_balancer=DuplicateAttemptBalancer)
         client = await harness.client()
         client.send(request())
         first, second = await endpoint.received.get(), await endpoint.received.get()
@@ -121,7 +121,7 @@
             balancers.append(SendAfterResponseBalancer(settings, seed, actions))
             return balancers[0]
 
-        await harness.begin(endpoint, make_balancer=make_balancer)
+        await harness.start(endpoint, make_balancer=make_balancer)
         client = await harness.client()
         assert (await client.exchange(request()))[0] == 502
         assert (await client.exchange(request(request_id="r2")))[0] == 502
@@ -160,7 +160,7 @@
             "load-report": {"source": "on_probe", "columns": ["outstanding"]},
         }
         overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
-        await harness.begin(endpoint, make_balancer=ChecksHealth, configuration=overrides)
+        await harness.start(endpoint, make_balancer=ChecksHealth, configuration=overrides)
         assert (await (await harness.client()).exchange(request()))[0] == 200
         assert (await endpoint.received.get()).first_line == "GET /stats HTTP/1.1"
         assert (await endpoint.received.get()).first_line == "GET /read/x?q=1 HTTP/1.1"
@@ -169,7 +169,7 @@
 async def test_no_health_check_where_the_settings_allow_none() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make_balancer=ChecksHealth)
+        await harness.start(endpoint, make_balancer=ChecksHealth)
         assert (await (await harness.client()).exchange(request(X_Timeout_Ms="200")))[0] == 502
         assert endpoint.connections == 0
 
@@ -184,7 +184,7 @@
 async def test_closed_connections_are_freed_without_the_garbage_collector() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         gc.collect()
         before = count_live_objects()  # left by earlier tests
         gc.disable()
@@ -226,7 +226,7 @@
         return balancers[0]
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make_balancer=make_balancer)
+        await harness.start(FakeEndpoint(), make_balancer=make_balancer)
         client = await harness.client()
         with monkeypatch.context() as patch:
             patch.setattr(Exchange, "send_response", None)
@@ -237,7 +237,7 @@
 async def test_open_requests_are_bounded_by_their_bytes() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         dispatcher = harness.gateway.dispatcher
         dispatcher.requests.max_bytes = 100_000
         first, second = await harness.client(), await harness.client()
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -88,7 +88,7 @@
     """incident-1: the timeout ran from the read, so endpoints got requests after their client had closed."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make_balancer=SingleAttemptBalancer)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = await harness.client()
         for number in range(MAX_PIPELINED):
             client.send(request(request_id=f"r{number}"))
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -77,7 +77,7 @@
             sections = {"seed": f"{number:x}"}
             if response is None:
                 sections["discovery"] = "127.0.0.1:1"
-            await harness.begin(FakeEndpoint(), configuration=sections, discovery=mode, **SETTINGS)
+            await harness.start(FakeEndpoint(), configuration=sections, discovery=mode, **SETTINGS)
             assert await health_status(harness) == 200
             if response is not None and mode == "pushed":
                 _, writer = await harness.discovery.calls.get()
@@ -100,7 +100,7 @@
 
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
         delays_ns: list[int] = []
-        await harness.begin(
+        await harness.start(
             entries=[],
             make_balancer=fast_balancer(delays_ns),
             configuration={"seed": f"{number:x}"},
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -79,7 +79,7 @@
     """The request follows one on the same connection that the balancer ended before its deadline."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request(request_id="timed-out", X_Timeout_Ms="60"))
         received = await endpoint.received.get()
@@ -97,7 +97,7 @@
 ) -> None:
     monkeypatch.setenv("EDGE_TRACE", "all")
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         client = await harness.client()
         assert (await client.exchange(request(request_id="good-one")))[0] == 200
         assert (await client.exchange(request(request_id="bad-one", omit_header="X-Tenant-Id")))[0] == 400
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -15,7 +15,7 @@
 async def test_connection_is_reused() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         for number in range(3):
             assert (await client.exchange(request(request_id=f"r{number}")))[::2] == (200, b"done")
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -113,7 +113,7 @@
 async def test_late_second_response_is_not_taken_for_the_next_response() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         client = await harness.client()
         client.send(request(request_id="r0"))
         first = await endpoint.received.get()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -255,7 +255,7 @@
     discovery: FakeDiscovery
     where: tuple[str, int]
 
-    async def begin(
+    async def start(
         self,
         *endpoints: FakeEndpoint,
         entries: list[dict[str, Any]] | None = None,
