--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -20,7 +20,7 @@
 async def test_connections_of_slow_and_unused_clients_are_closed() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        slow, idle = await harness.client(), await harness.client()
+        slow, idle = await harness.connect(), await harness.connect()
         slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
         await wait_until(
             lambda: harness.gateway.server.open_connections == 2
@@ -37,22 +37,22 @@
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         harness.gateway.server.max_connections = 2
-        busy = [await harness.client() for _ in range(2)]
+        busy = [await harness.connect() for _ in range(2)]
         for number, client in enumerate(busy):
             client.send(request(request_id=f"b{number}"))
         forwarded = [await endpoint.received.get() for _ in busy]
-        status, headers, _ = await (await harness.client()).exchange(request(request_id="late"))
+        status, headers, _ = await (await harness.connect()).exchange(request(request_id="late"))
         assert (status, headers["connection"]) == (503, "close")
         for client, item in zip(busy, forwarded, strict=True):
             item.reply()
             assert (await client.read_response())[0] == 200
-        assert (await (await harness.client()).exchange(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+        assert (await (await harness.connect()).exchange(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
 
 
 async def test_idle_connections_of_clients_that_sent_one_request_are_closed() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        clients = [await harness.client() for _ in range(20)]
+        clients = [await harness.connect() for _ in range(20)]
         for number, client in enumerate(clients):
             assert (await client.exchange(request(request_id=f"r{number}")))[0] == 200
         harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + MS)
@@ -66,11 +66,11 @@
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 5
-        useful = await harness.client()
+        useful = await harness.connect()
         assert (await useful.exchange(request()))[0] == 200
         useless = []
         for _ in range(40):
-            useless.append(await harness.client())
+            useless.append(await harness.connect())
             if sent:
                 assert (await useless[-1].exchange(sent))[0] in (200, 400)
         assert (await useful.exchange(request(request_id="r2")))[0] == 200
@@ -84,14 +84,14 @@
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 3
-        useful = await harness.client()
+        useful = await harness.connect()
         assert (await useful.exchange(request()))[0] == 200
-        incomplete = [await harness.client() for _ in range(2)]
+        incomplete = [await harness.connect() for _ in range(2)]
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
             await wait_until(lambda count=number + 1: harness.gateway.server.busy_connections == count)  # type: ignore[misc]
         shift_wait_start(harness, FIRST_REQUEST_TIMEOUT_NS + MS)
-        assert (await (await harness.client()).exchange(request(request_id="late")))[0] == 200
+        assert (await (await harness.connect()).exchange(request(request_id="late")))[0] == 200
         assert await incomplete[0].reader.read() == b""
         assert (await useful.exchange(request(request_id="r2")))[0] == 200  # idle, but not evicted
         assert (await incomplete[1].exchange(b"\r\n"))[0] == 200
@@ -101,12 +101,12 @@
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 2
-        incomplete = [await harness.client() for _ in range(2)]
+        incomplete = [await harness.connect() for _ in range(2)]
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
         await wait_until(lambda: harness.gateway.server.busy_connections == 2)
         shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # a slow machine may have used up the timeout
-        assert (await (await harness.client()).exchange(request(request_id="late")))[0] == 503
+        assert (await (await harness.connect()).exchange(request(request_id="late")))[0] == 503
         for client in incomplete:
             assert (await client.exchange(b"\r\n"))[0] == 200
 
@@ -115,9 +115,9 @@
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 4
-        first, second = await harness.client(), await harness.client()
+        first, second = await harness.connect(), await harness.connect()
         assert "connection" not in (await first.exchange(request()))[1]
-        third = await harness.client()
+        third = await harness.connect()
         assert (await third.exchange(request(request_id="r2")))[1]["connection"] == "close"
         assert await third.reader.read() == b""
         second.writer.close()
--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -54,7 +54,7 @@
 
 async def check_only_other_request_is_sent(harness: GatewayHarness, endpoint: FakeEndpoint) -> None:
     """Send another request and check that it is the next one to reach the endpoint, and the only one."""
-    other = await harness.client()
+    other = await harness.connect()
     assert (await other.exchange(request(request_id="other")))[0] == 200
     assert (await endpoint.received.get()).headers["x-request-id"] == "other"
     assert endpoint.received.empty()
@@ -65,7 +65,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        busy, closing_client = await harness.client(), await harness.client()
+        busy, closing_client = await harness.connect(), await harness.connect()
         busy.send(request(request_id="busy"))
         forwarded = await endpoint.received.get()
         closing_client.send(request(request_id="left"))  # an unused endpoint gets one attempt at a time
@@ -85,7 +85,7 @@
         endpoints = FakeEndpoint("h0", reply=None), FakeEndpoint("h1", reply=None)
         await harness.start(*endpoints, **SHORT_OBJECTIVES)
         dispatcher, timers = harness.gateway.dispatcher, harness.gateway.timers
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
         await wait_until(lambda: any(not endpoint.received.empty() for endpoint in endpoints))
         first, other = endpoints if not endpoints[0].received.empty() else endpoints[::-1]
@@ -110,7 +110,7 @@
         endpoint = FakeEndpoint()
         await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         connects = DelayedConnects(monkeypatch, endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
         await connects.was_called.wait()
         close_client(client)
@@ -125,7 +125,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request())
         forwarded = await endpoint.received.get()
         client.writer.write_eof()
@@ -255,7 +255,7 @@
         await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         dispatcher = harness.gateway.dispatcher
         connects = UnreportedConnects(monkeypatch, endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
         connected = await connects.connected.get()
         close_client(client)
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -15,7 +15,7 @@
 async def test_an_upgrade_is_ignored() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint(reply=OK_RESPONSE))
-        client = await harness.client()
+        client = await harness.connect()
         assert (await client.exchange(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
         assert await client.reader.read() == b""
 
@@ -23,7 +23,7 @@
 async def test_a_client_that_expects_100_continue_gets_it() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         message = request("once", body=b"some body", Expect="100-continue")
         client.send(message[:-9])
         assert (await asyncio.wait_for(client.reader.readline(), 5)).startswith(b"HTTP/1.1 100")
@@ -37,7 +37,7 @@
         await harness.start(endpoint)
         data = request("once", omit_header="Content-Length", Transfer_Encoding="chunked")
         data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
-        assert (await (await harness.client()).exchange(data))[0] == 200
+        assert (await (await harness.connect()).exchange(data))[0] == 200
         forwarded = await endpoint.received.get()
         assert (forwarded.headers["x-request-id"], forwarded.headers.get("x-late"), forwarded.body) == (
             "r1",
@@ -78,21 +78,21 @@
         await harness.start(endpoint)
         head = request("once", omit_header="Content-Length")[:-2]
         data = head + lines + b"\r\n0\r\n\r\n" + HIDDEN_REQUEST
-        client = await harness.client()
+        client = await harness.connect()
         client.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for piece in [data[index : index + 1] for index in range(len(data))] if in_bytes else [data]:
             client.send(piece)
             await asyncio.sleep(0)
         assert (await client.read_response())[0] == 400
         assert await client.reader.read() == b""
-        assert (await (await harness.client()).exchange(request(request_id="good")))[0] == 200
+        assert (await (await harness.connect()).exchange(request(request_id="good")))[0] == 200
         assert (await endpoint.received.get()).headers["x-request-id"] == "good"
 
 
 async def test_bytes_after_a_framing_error_are_not_read() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request("once", Content_Length="60000000"))
         assert (await client.read_response())[0] == 413
         for _ in range(100):
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -17,7 +17,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(3)))
         forwarded = [await endpoint.received.get() for _ in range(3)]
         for item in reversed(forwarded):
@@ -29,7 +29,7 @@
 async def test_every_one_of_many_pipelined_requests_gets_a_response() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(200)))
         for _ in range(200):
             assert (await client.read_response())[0] in (200, 503)
@@ -39,7 +39,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(b"".join(request(request_id=f"r{n}") for n in range(100)))
         forwarded = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
         assert len(harness.gateway.dispatcher.open_requests()) == MAX_PIPELINED
@@ -54,7 +54,7 @@
 
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         invalid = request(request_id="")
         assert (await client.exchange(invalid))[0] == 400
         client.send(invalid)
@@ -80,7 +80,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         for _ in range(errors):
             client.send(request(request_id=""))
         await wait_until(lambda: len(harness.gateway.server.connections) == 1)
@@ -96,7 +96,7 @@
 
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="") * 300 + request(request_id="good"))
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
         [connection] = harness.gateway.server.connections
@@ -115,7 +115,7 @@
     """When EOF was sent before the deferred error was written, every sweep of the gateway failed."""
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         invalid = request(request_id="")
         client.send(invalid + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
         assert [(await client.read_response())[0] for _ in range(2)] == [400, 400]
@@ -127,7 +127,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="open") + request(request_id="", Connection="Upgrade", Upgrade="h2c"))
         received = await endpoint.received.get()
         await wait_until(lambda: harness.gateway.server.busy_connections == 1)
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -15,7 +15,7 @@
     async with GatewayHarness() as harness:
         endpoint = await FakeEndpoint().start()
         await harness.start(entries=[])
-        client = await harness.client()
+        client = await harness.connect()
         readiness_check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.exchange(readiness_check))[0] == 503
         _, writer = await harness.discovery.calls.get()
@@ -29,7 +29,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="r0") + request(request_id="r1"))
         forwarded = [await endpoint.received.get() for _ in range(2)]
         harness.gateway.stop()
--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -14,7 +14,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
-        assert (await (await harness.client()).exchange(KEYED_REQUEST))[::2] == (200, b"done")
+        assert (await (await harness.connect()).exchange(KEYED_REQUEST))[::2] == (200, b"done")
         forwarded = await endpoint.received.get()
         assert (forwarded.first_line, forwarded.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
         assert {
@@ -77,8 +77,8 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
-        assert (await (await harness.client()).exchange(data))[0] == status
-        assert (await (await harness.client()).exchange(request(request_id="good")))[0] == 200
+        assert (await (await harness.connect()).exchange(data))[0] == status
+        assert (await (await harness.connect()).exchange(request(request_id="good")))[0] == 200
         assert (await endpoint.received.get()).headers["x-request-id"] == "good"
         assert endpoint.received.empty()
 
@@ -88,7 +88,7 @@
         body = bytes(range(256)) * 256
         endpoint = FakeEndpoint(reply=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
         await harness.start(endpoint)
-        assert (await (await harness.client()).exchange(request("once", body=body)))[::2] == (200, body)
+        assert (await (await harness.connect()).exchange(request("once", body=body)))[::2] == (200, body)
         assert (await endpoint.received.get()).body == body
 
 
@@ -99,7 +99,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         head, _, body = KEYED_REQUEST.partition(b"\r\n\r\n")
         line, *fields = head.split(b"\r\n")
         spaced = [
@@ -118,7 +118,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        first, second = await harness.client(), await harness.client()
+        first, second = await harness.connect(), await harness.connect()
         first.send(request())
         forwarded = await endpoint.received.get()
         assert (await second.exchange(request()))[0] == 400
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -45,7 +45,7 @@
     async def send(self, *request_ids: str) -> None:
         """Send each request on its own connection, left open, and wait until the balancer has them all."""
         expected = self.request_count + len(request_ids)
-        clients = [await self.client() for _ in request_ids]
+        clients = [await self.connect() for _ in request_ids]
         for client, request_id in zip(clients, request_ids, strict=True):
             self.callback(client.writer.close)
             client.send(request(request_id=request_id))
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -121,7 +121,7 @@
     realms = [ACME, {"name": "old", "allowance-per-s": 5.0}]
     async with running_gateway(tmp_path, monkeypatch, realms=realms) as (file, endpoint):
         dispatcher = file.harness.gateway.dispatcher
-        sent, waiting, client = [await file.harness.client() for _ in range(3)]
+        sent, waiting, client = [await file.harness.connect() for _ in range(3)]
         sent.send(request(request_id="sent", X_Tenant_Id="old"))
         received = await endpoint.received.get()
         waiting.send(request(request_id="waiting", X_Tenant_Id="old"))  # the one endpoint is busy
@@ -130,7 +130,7 @@
         file.write(realms=[{"name": "acme", "allowance-per-s": 7.0}, {"name": "new"}], **changed)
         await file.wait_for(ReloadState.IDLE)
         assert (await client.exchange(request(request_id="gone", X_Tenant_Id="old")))[0] == 400
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request(request_id="new", X_Tenant_Id="new"))
         await wait_until(lambda: len(dispatcher.open_requests()) == 3)
         received.reply(CLOSING_RESPONSE)
@@ -149,7 +149,7 @@
 ) -> None:
     """A shorter latency objective applies to later requests only, even if the classes change their order."""
     async with running_gateway(tmp_path, monkeypatch) as (file, endpoint):
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request(request_id="open"))
         received = await endpoint.received.get()
         changed: dict[str, Any] = {
@@ -208,7 +208,7 @@
         assert bool(moved) is moves_discovery
         assert file.tenant_names() == [b"acme"]
         assert file.reload.configuration.version == 7
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request())
         (await endpoint.received.get()).reply()
         assert (await client.read_response())[0] == 200
@@ -245,7 +245,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_gateway(tmp_path, monkeypatch) as (file, endpoint):
-        client = await file.harness.client()
+        client = await file.harness.connect()
         file.write(realms=[ACME, *({"name": f"t{number}"} for number in range(20_000))])
         await file.wait_for(ReloadState.COMPARING)
         client.send(request())
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -144,7 +144,7 @@
     async with GatewayHarness() as harness:
         endpoint, other = FakeEndpoint("h0"), FakeEndpoint("h1")
         await harness.start(endpoint, other, entries=[])
-        client = await harness.client()
+        client = await harness.connect()
         _, writer = await harness.discovery.calls.get()
         harness.discovery.start_watch_response(writer)
         harness.discovery.write_watch_event(writer, 42, [endpoint.make_entry()])
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -36,7 +36,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request("once"))
         client.writer.write_eof()
         (await endpoint.received.get()).reply()
@@ -48,7 +48,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request())
         received = await endpoint.received.get()
         client.writer.write_eof()
@@ -64,7 +64,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request())
         received = await endpoint.received.get()
         sock = client.writer.get_extra_info("socket")
@@ -89,7 +89,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint(), make_balancer=balancer)
-        client, started_ns = await harness.client(), now_ns()
+        client, started_ns = await harness.connect(), now_ns()
         got_status, headers, _ = await client.exchange(request(X_Timeout_Ms="1000"))
         assert (got_status, headers.get("retry-after")) == (status, retry_after)
         assert now_ns() - started_ns < 1000 * MS + STALL_ALLOWANCE_NS
@@ -103,7 +103,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=DuplicateAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request())
         first, second = await endpoint.received.get(), await endpoint.received.get()
         second.reply()
@@ -122,7 +122,7 @@
             return balancers[0]
 
         await harness.start(endpoint, make_balancer=make_balancer)
-        client = await harness.client()
+        client = await harness.connect()
         assert (await client.exchange(request()))[0] == 502
         assert (await client.exchange(request(request_id="r2")))[0] == 502
         assert endpoint.received.empty()
@@ -161,7 +161,7 @@
         }
         overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
         await harness.start(endpoint, make_balancer=ChecksHealth, configuration=overrides)
-        assert (await (await harness.client()).exchange(request()))[0] == 200
+        assert (await (await harness.connect()).exchange(request()))[0] == 200
         assert (await endpoint.received.get()).first_line == "GET /stats HTTP/1.1"
         assert (await endpoint.received.get()).first_line == "GET /read/x?q=1 HTTP/1.1"
 
@@ -170,7 +170,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint, make_balancer=ChecksHealth)
-        assert (await (await harness.client()).exchange(request(X_Timeout_Ms="200")))[0] == 502
+        assert (await (await harness.connect()).exchange(request(X_Timeout_Ms="200")))[0] == 502
         assert endpoint.connections == 0
 
 
@@ -190,7 +190,7 @@
         gc.disable()
         try:
             for number in range(30):
-                client = await harness.client()
+                client = await harness.connect()
                 assert (await client.exchange(request(request_id=f"r{number}")))[0] == 200
                 client.writer.close()
             harness.gateway.upstream.close()
@@ -227,7 +227,7 @@
 
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint(), make_balancer=make_balancer)
-        client = await harness.client()
+        client = await harness.connect()
         with monkeypatch.context() as patch:
             patch.setattr(Exchange, "send_response", None)
             client.send(request())
@@ -240,7 +240,7 @@
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         dispatcher = harness.gateway.dispatcher
         dispatcher.requests.max_bytes = 100_000
-        first, second = await harness.client(), await harness.client()
+        first, second = await harness.connect(), await harness.connect()
         first.send(request("once", body=b"x" * 60_000))
         received = await endpoint.received.get()
         assert (await second.exchange(request("once", request_id="r2", body=b"x" * 60_000)))[0] == 503
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -89,7 +89,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = await harness.client()
+        client = await harness.connect()
         for number in range(MAX_PIPELINED):
             client.send(request(request_id=f"r{number}"))
         received_requests = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -60,7 +60,7 @@
 
 async def health_status(harness: GatewayHarness) -> int:
     """Status of a health check on a new connection."""
-    client = await harness.client()
+    client = await harness.connect()
     status = (await client.exchange(HEALTH_CHECK))[0]
     client.writer.close()
     return status
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -80,7 +80,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="timed-out", X_Timeout_Ms="60"))
         received = await endpoint.received.get()
         assert (await client.read_response())[0] in (502, 503)
@@ -98,7 +98,7 @@
     monkeypatch.setenv("EDGE_TRACE", "all")
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
-        client = await harness.client()
+        client = await harness.connect()
         assert (await client.exchange(request(request_id="good-one")))[0] == 200
         assert (await client.exchange(request(request_id="bad-one", omit_header="X-Tenant-Id")))[0] == 400
         client.send(b"GET /half")
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -16,7 +16,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         for number in range(3):
             assert (await client.exchange(request(request_id=f"r{number}")))[::2] == (200, b"done")
             age_idle_connections(harness.gateway.upstream)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -114,7 +114,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="r0"))
         first = await endpoint.received.get()
         first.reply()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -296,7 +296,7 @@
         self.where = await self.gateway.start()
         return self
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         """Open a new connection to the gateway."""
         return Client(*await asyncio.open_connection(*self.where))
 
