--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -159,7 +159,7 @@
 
 async def send_requests(harness: GatewayHarness, count: int) -> tuple[BlockingClient, list[int]]:
     """A client with `count` open requests, and the request ids that the gateway gave them."""
-    client = BlockingClient(harness.where)
+    client = BlockingClient(harness.gateway_address)
     client.sock.sendall(b"".join(request(request_id=f"left{n}") for n in range(count)))
     await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == count)
     return client, [item.request_id for item in harness.gateway.dispatcher.open_requests()]
@@ -313,7 +313,7 @@
 async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
-        client = BlockingClient(harness.where)
+        client = BlockingClient(harness.gateway_address)
         client.sock.sendall(request(Connection="close"))
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
         client.sock.sendall(b"more")
@@ -333,7 +333,7 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
-        client = BlockingClient(harness.where)
+        client = BlockingClient(harness.gateway_address)
         flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -253,7 +253,7 @@
 
     gateway: Gateway
     discovery: FakeDiscovery
-    where: tuple[str, int]
+    gateway_address: tuple[str, int]
 
     async def start(
         self,
@@ -293,12 +293,12 @@
             self.gateway = Gateway(
                 Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make_balancer
             )
-        self.where = await self.gateway.start()
+        self.gateway_address = await self.gateway.start()
         return self
 
     async def connect(self) -> Client:
         """Open a new connection to the gateway."""
-        return Client(*await asyncio.open_connection(*self.where))
+        return Client(*await asyncio.open_connection(*self.gateway_address))
 
 
 async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
