--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -301,10 +301,10 @@
         return Client(*await asyncio.open_connection(*self.gateway_address))
 
 
-async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Run the event loop until `ready` is true; await `step` between two tests of it.
+async def wait_until(condition: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
+    """Run the event loop until `condition` is true; await `step` between two tests of it.
 
     The time limit of the test ends the wait if that never happens.
     """
-    while not ready():
+    while not condition():
         await (step() if step is not None else asyncio.sleep(0))
