--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
 from hypothesis import settings
 
 from tests.support.loopback import TEST_TIMEOUT_S
-from tests.support.processes import end_launched
+from tests.support.processes import kill_started_gateways
 
 KNOWN_FAILURES_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MAX_KNOWN_FAILURES = 3
@@ -52,7 +52,7 @@
 def _kill_launched_gateways() -> Iterator[None]:
     """Kill the gateway processes that a test started, even if the test failed."""
     yield
-    end_launched()
+    kill_started_gateways()
 
 
 def _with_time_limit(test: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -17,16 +17,16 @@
 ROOT = Path(__file__).parent.parent.parent
 COMMAND = [sys.executable, "-B", "-m", "gateway"]
 
-_launched: list[asyncio.subprocess.Process] = []
+_started: list[asyncio.subprocess.Process] = []
 
 
-def end_launched() -> None:
+def kill_started_gateways() -> None:
     """Kill the gateways that a test left running, as later tests may be given the same ports."""
-    for process in _launched:
+    for process in _started:
         if process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGKILL)
-    _launched.clear()
+    _started.clear()
 
 
 def write_config(path: Path, discovery: FakeDiscovery, *endpoints: FakeEndpoint) -> dict[str, Any]:
@@ -65,7 +65,7 @@
         preexec_fn=limit_descriptors,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
     )
-    _launched.append(process)
+    _started.append(process)
     assert process.stderr is not None
     while True:
         line = (await process.stderr.readline()).decode()
