--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -25,7 +25,7 @@
     request,
     wait_until,
 )
-from tests.support.processes import connect, launch, write_config
+from tests.support.processes import connect, start_gateway, write_config
 
 ACME = {"name": "acme", "portion": 1.0}
 
@@ -259,7 +259,7 @@
 async def test_the_process_applies_a_change_on_sighup(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     busy, client = await connect(address), await connect(address)
     busy.send(request(request_id="open"))
     received = await endpoint.received.get()
--- a/tests/gateway/test_event_loop_stalls.py
+++ b/tests/gateway/test_event_loop_stalls.py
@@ -14,7 +14,7 @@
 from gateway.loop_monitor import HEARTBEAT_INTERVAL_NS, HEARTBEAT_TOLERANCE_NS, LoopMonitor
 from gateway.timers import Timers, now_ns
 from tests.support.loopback import Client, FakeDiscovery, FakeEndpoint, request, wait_until
-from tests.support.processes import connect, launch, write_config
+from tests.support.processes import connect, start_gateway, write_config
 
 STALL_S = 0.5
 SHORT_TIMEOUT_MS = 300
@@ -33,7 +33,7 @@
     """Run a gateway process with one endpoint, and a client connection on which a request has been served."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(path, discovery, endpoint)
-    program, address = await launch(path)
+    program, address = await start_gateway(path)
     client = await connect(address)
     assert (await client.exchange(request(request_id="first")))[0] == 200
     await endpoint.received.get()
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -23,7 +23,7 @@
     request,
     wait_until,
 )
-from tests.support.processes import connect, launch, write_config
+from tests.support.processes import connect, start_gateway, write_config
 from tests.support.stub_balancers import SingleAttemptBalancer
 
 ROUNDS = 12
@@ -43,7 +43,7 @@
     """incident-1: an invalid request delayed the requests that followed it on a shared connection."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     separate, shared = await connect(address), await connect(address)
     separate_times_s, shared_times_s = [], []
     for number in range(ROUNDS):
@@ -60,7 +60,7 @@
     """incident-2: none of 85 such responses reached a client.  A reset does not end a response regularly."""
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     client = await connect(address)
     client.send(request("once"))  # not retried, so this response decides the result
     received = await endpoint.received.get()
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.support.loopback import CLOSING_RESPONSE, FakeDiscovery, FakeEndpoint, request
-from tests.support.processes import COMMAND, ROOT, connect, launch, write_config
+from tests.support.processes import COMMAND, ROOT, connect, start_gateway, write_config
 
 HEALTH_CHECK = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -52,7 +52,7 @@
 async def test_after_sigterm_open_and_new_requests_are_served(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     idle, busy = await connect(address), await connect(address)
     assert (await idle.exchange(HEALTH_CHECK))[0] == 200
     busy.send(request())
@@ -77,7 +77,7 @@
 ) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     sent, waiting, later = [await connect(address) for _ in range(3)]
     sent.send(request(request_id="sent"))
     received = await endpoint.received.get()
@@ -111,7 +111,7 @@
 async def test_the_last_response_in_a_shutdown_closes_its_connection(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     first, second = await connect(address), await connect(address)
     process.send_signal(signal.SIGTERM)
     while (await (await connect(address)).exchange(HEALTH_CHECK))[
@@ -135,7 +135,7 @@
     endpoint = await FakeEndpoint(reply=None).start()
     first, second, third = [await FakeDiscovery().start() for _ in range(3)]
     config = write_config(tmp_path / "c", first, endpoint)
-    process, address = await launch(tmp_path / "c", EDGE_DISCOVERY=first.address)
+    process, address = await start_gateway(tmp_path / "c", EDGE_DISCOVERY=first.address)
     await first.calls.get()
     (tmp_path / "c").write_text("{")
     process.send_signal(signal.SIGHUP)
@@ -160,14 +160,14 @@
 async def test_a_restarted_gateway_can_listen_at_once(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     busy = await connect(address)
     busy.send(request())
     await endpoint.received.get()
     process.kill()
     await process.wait()
     (tmp_path / "c").write_text(json.dumps({**config, "listen": f"{address[0]}:{address[1]}"}))
-    process, new_address = await launch(tmp_path / "c")
+    process, new_address = await start_gateway(tmp_path / "c")
     assert new_address == address
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
@@ -176,7 +176,7 @@
 async def test_a_gateway_without_descriptors_serves_again_later(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c", sockets=40)
+    process, address = await start_gateway(tmp_path / "c", sockets=40)
     clients = [await connect(address) for _ in range(80)]
     for client in clients:
         client.writer.close()
@@ -218,7 +218,7 @@
     discovery.address = f"127.0.0.1:{discovery_socket.getsockname()[1]}"
     config = write_config(tmp_path / "c", discovery)
     (tmp_path / "c").write_text(json.dumps({**config, "limits": {"sockets": 96}}))
-    process, address = await launch(tmp_path / "c", sockets=96)
+    process, address = await start_gateway(tmp_path / "c", sockets=96)
     closed = asyncio.Event()
     clients = [asyncio.create_task(reconnect(address, closed)) for _ in range(100)]
     await closed.wait()
@@ -259,7 +259,7 @@
     discovery_socket.bind(("127.0.0.1", 0))  # bound, but not listening
     discovery.address = f"127.0.0.1:{discovery_socket.getsockname()[1]}"
     write_config(tmp_path / "c", discovery, endpoint)
-    for process, address in await asyncio.gather(*(launch(tmp_path / "c") for _ in range(30))):
+    for process, address in await asyncio.gather(*(start_gateway(tmp_path / "c") for _ in range(30))):
         assert (await (await connect(address)).exchange(HEALTH_CHECK))[0] == 200
         process.kill()
         await process.wait()
--- a/tests/gateway/test_system_calls.py
+++ b/tests/gateway/test_system_calls.py
@@ -19,7 +19,7 @@
 
 from balancer import MS
 from tests.support.loopback import FakeDiscovery, FakeEndpoint, request
-from tests.support.processes import connect, launch, write_config
+from tests.support.processes import connect, start_gateway, write_config
 
 SOURCE = Path(__file__).parent.parent / "support" / "failing_system_calls.c"
 REQUESTS = 60
@@ -38,7 +38,9 @@
     return target
 
 
-async def start_gateway(path: Path, faults: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+async def start_gateway_with_faults(
+    path: Path, faults: str
+) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     """Start a gateway with injected faults, three endpoints, and request classes whose retries come soon."""
     endpoints = [await FakeEndpoint(f"h{number}").start() for number in range(3)]
     discovery = await FakeDiscovery().start()
@@ -46,7 +48,7 @@
     classes = [{**row, "slo-ns": 500 * MS} for row in config["settings"]["request-classes"]]
     config["settings"] = {**config["settings"], "request-classes": classes}
     path.write_text(json.dumps(config))
-    return await launch(path, LD_PRELOAD=str(compile_library()), FAULTS=faults)
+    return await start_gateway(path, LD_PRELOAD=str(compile_library()), FAULTS=faults)
 
 
 async def send_all(address: tuple[str, int]) -> list[int]:
@@ -109,7 +111,7 @@
     ],
 )
 async def test_no_request_is_lost(faults: str, tmp_path: Path) -> None:
-    process, address = await start_gateway(tmp_path / "c", faults)
+    process, address = await start_gateway_with_faults(tmp_path / "c", faults)
     statuses = await send_all(address)
     assert len(statuses) == REQUESTS
     assert set(statuses) <= {200, 503}  # a connection failure must not fail a request
@@ -131,7 +133,7 @@
 )
 async def test_a_broken_connection_affects_no_other_client(faults: str, tmp_path: Path) -> None:
     """Clients whose connection breaks reconnect; all others get a response."""
-    process, address = await start_gateway(tmp_path / "c", faults)
+    process, address = await start_gateway_with_faults(tmp_path / "c", faults)
     served = broken = 0
     for number in range(REQUESTS):
         client = await connect(address)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -46,7 +46,7 @@
     return config
 
 
-async def launch(
+async def start_gateway(
     path: Path, sockets: int = 0, **environ: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     """Start a gateway; return its process and its address, which it logs once it listens.
