--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -176,7 +176,7 @@
 async def test_a_gateway_without_descriptors_serves_again_later(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await start_gateway(tmp_path / "c", sockets=40)
+    process, address = await start_gateway(tmp_path / "c", max_descriptors=40)
     clients = [await connect(address) for _ in range(80)]
     for client in clients:
         client.writer.close()
@@ -218,7 +218,7 @@
     discovery.address = f"127.0.0.1:{discovery_socket.getsockname()[1]}"
     config = write_config(tmp_path / "c", discovery)
     (tmp_path / "c").write_text(json.dumps({**config, "limits": {"sockets": 96}}))
-    process, address = await start_gateway(tmp_path / "c", sockets=96)
+    process, address = await start_gateway(tmp_path / "c", max_descriptors=96)
     closed = asyncio.Event()
     clients = [asyncio.create_task(reconnect(address, closed)) for _ in range(100)]
     await closed.wait()
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -47,16 +47,16 @@
 
 
 async def start_gateway(
-    path: Path, sockets: int = 0, **environ: str
+    path: Path, max_descriptors: int = 0, **environ: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     """Start a gateway; return its process and its address, which it logs once it listens.
 
-    `sockets` limits the file descriptors of the process; 0 leaves the limit as inherited.
+    `max_descriptors` limits the file descriptors of the process; 0 leaves the limit as inherited.
     """
 
     def limit_descriptors() -> None:
-        if sockets:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
+        if max_descriptors:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
