--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -47,7 +47,7 @@
 
 
 async def start_gateway(
-    path: Path, max_descriptors: int = 0, **environ: str
+    path: Path, max_descriptors: int = 0, **environment: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     """Start a gateway; return its process and its address, which it logs once it listens.
 
@@ -63,7 +63,7 @@
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=limit_descriptors,
-        env={**os.environ, "EDGE_CONFIG": str(path), **environ},
+        env={**os.environ, "EDGE_CONFIG": str(path), **environment},
     )
     _started.append(process)
     assert process.stderr is not None
