--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -45,7 +45,7 @@
         for _ in range(3):
             gateway.run_for(100 * MS)
             endpoints.by_id[endpoint_id].observe(
-                SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now
+                SECOND, 300 * MS, gateway.now_ns, failed_attempt_sent_at=gateway.now_ns
             )
     before = gateway.attempts_by_endpoint()["h2"]
     for _ in range(12):
--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -115,7 +115,7 @@
 
     def _update(self, event: Event, kind: UpdateKind) -> None:
         gateway = self._gateways[event.gateway]
-        gateway.now = max(gateway.now, event.time)
+        gateway.now_ns = max(gateway.now_ns, event.time)
         gateway.update_endpoint_list(kind, [] if kind is UpdateKind.FAILED else ENTRIES)
 
     def _push_timer(self, number: int) -> None:
--- a/tests/balancer/test_endpoint_index.py
+++ b/tests/balancer/test_endpoint_index.py
@@ -28,8 +28,8 @@
     gateway.end_attempt(request_id, Outcome.OK)  # the attempt still counts after its endpoint was removed
     assert gateway.final_responses[request_id] is FinalResponse.SERVED
     assert gateway.balancer.endpoints.local_pool.in_flight == 0
-    gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("old", started_ns=gateway.now)])
-    assert gateway.balancer.endpoints.by_id["old"].slow_start_until > gateway.now
+    gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("old", started_ns=gateway.now_ns)])
+    assert gateway.balancer.endpoints.by_id["old"].slow_start_until > gateway.now_ns
     assert not gateway.violations
 
 
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -32,7 +32,7 @@
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     serve_one_by_one(gateway, 60, 50 * MS)
     # Its speed is at least a third of the full speed.
-    gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now)])
+    gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now_ns)])
     serve_all_in_flight(gateway, 20, 100 * MS)
     assert gateway.attempts_by_endpoint()["starting"] > 5
     assert gateway.balancer.endpoints.local_pool.smoothed_delay < 10 * MS
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -93,8 +93,8 @@
     failing = gateway.balancer.endpoints.by_id["h0"]
     for _ in range(3):
         gateway.run_for(100 * MS)
-        failing.observe(SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now)
-    while is_ejected(failing, 300 * MS, gateway.now):
+        failing.observe(SECOND, 300 * MS, gateway.now_ns, failed_attempt_sent_at=gateway.now_ns)
+    while is_ejected(failing, 300 * MS, gateway.now_ns):
         gateway.run_for(100 * MS)
     before = gateway.attempts_by_endpoint()["h0"]
     request_ids = [gateway.receive_request() for _ in range(9)]
--- a/tests/balancer/test_protocol_rules.py
+++ b/tests/balancer/test_protocol_rules.py
@@ -86,12 +86,12 @@
     assert not rules.may_send(request, same_cell, 0)  # an attempt is in flight
     gateway.run_until(10 * MS)
     gateway.end_attempt(request_id, Outcome.RESET)
-    assert rules.may_send(request, same_cell, gateway.now)
-    assert not rules.may_send(request, other_cell, gateway.now)  # outside the deduplication scope
+    assert rules.may_send(request, same_cell, gateway.now_ns)
+    assert not rules.may_send(request, other_cell, gateway.now_ns)  # outside the deduplication scope
     assert not rules.may_send(request, same_cell, 400 * MS)  # the deduplication window is over
     same_cell.state = EndpointState.DRAINING
-    assert not rules.may_send(request, same_cell, gateway.now)
+    assert not rules.may_send(request, same_cell, gateway.now_ns)
     same_cell.state = EndpointState.READY
-    same_cell.started_at, same_cell.slow_start_until = gateway.now, gateway.now + SECOND
-    same_cell.credit_updated_at, same_cell.slow_start_credit = gateway.now, 0.0
-    assert not rules.may_send(request, same_cell, gateway.now)  # no slow-start credit yet
+    same_cell.started_at, same_cell.slow_start_until = gateway.now_ns, gateway.now_ns + SECOND
+    same_cell.credit_updated_at, same_cell.slow_start_credit = gateway.now_ns, 0.0
+    assert not rules.may_send(request, same_cell, gateway.now_ns)  # no slow-start credit yet
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -14,7 +14,7 @@
 
 def replace_list_by_starting_endpoint(gateway: GatewayModel) -> None:
     """Replaces the endpoint list by a single endpoint that starts now."""
-    starting = make_entry("starting", started_ns=gateway.now)
+    starting = make_entry("starting", started_ns=gateway.now_ns)
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [starting])
 
 
@@ -35,7 +35,7 @@
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
         serve_one_by_one(gateway, 20, 80 * MS, 3120 * MS)
         gone = make_entry("warm", state=EndpointState.GONE)
-        starting = make_entry("starting", started_ns=gateway.now)
+        starting = make_entry("starting", started_ns=gateway.now_ns)
         gateway.update_endpoint_list(UpdateKind.DELTA, [gone, starting])
         if number < 50:  # gateways whose next request arrives within the first two seconds
             gateway.run_for(number * 40 * MS)
@@ -115,7 +115,9 @@
     """Spillover avoided a zone until its slow start ended, even if the local zone was short of endpoints."""
     gateway = GatewayModel(make_settings(zones=2), [make_entry("local"), make_entry("remote", zone=1)])
     serve_all_in_flight(gateway, 100, 20 * MS)
-    gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("remote", zone=1, started_ns=gateway.now)])
+    gateway.update_endpoint_list(
+        UpdateKind.SNAPSHOT, [make_entry("remote", zone=1, started_ns=gateway.now_ns)]
+    )
     before = len(gateway.attempts)
     serve_all_in_flight(gateway, 200, 10 * MS)
     assert len(gateway.attempts) > before + 20
@@ -124,7 +126,7 @@
 def test_an_endpoint_in_slow_start_follows_the_rules_in_force() -> None:
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     gateway.run_until(100 * SECOND)
-    gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("starting", started_ns=gateway.now)])
+    gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("starting", started_ns=gateway.now_ns)])
     gateway.apply_settings(replace(gateway.settings, rules=Rules(slow_start_window_ns=30 * SECOND)))
     endpoints = gateway.balancer.endpoints.by_id
     assert endpoints["starting"].slow_start_until == 130 * SECOND
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -64,7 +64,9 @@
     first = balancer.tenants.quotas[0]
     assert first is not None
     before = first.credit
-    balancer.on_tenants(gateway.now, [(0, Tenant("a", 1000.0)), (1, Tenant("b", 5.0)), (2, Tenant("c", 3.0))])
+    balancer.on_tenants(
+        gateway.now_ns, [(0, Tenant("a", 1000.0)), (1, Tenant("b", 5.0)), (2, Tenant("c", 3.0))]
+    )
     assert balancer.tenants.quotas[0] is first
     assert first.quota_per_s == 1000.0
     # The credit gained since its last request is based on the old quota.
@@ -72,12 +74,12 @@
     gateway.run_for(10 * SECOND)
     gateway.receive_request()
     assert first.credit == 2 * 1000.0 + 4 - 1
-    balancer.on_tenants(gateway.now, [(0, Tenant("a", 1.0))])
+    balancer.on_tenants(gateway.now_ns, [(0, Tenant("a", 1.0))])
     gateway.receive_request()
     assert first.credit == 2 * 1.0 + 4 - 1  # limited to the largest burst of the new quota
     request_id = gateway.receive_request(tenant_index=2)
     third = balancer.lifecycle.requests[request_id].tenant
-    balancer.on_tenants(gateway.now, [(2, Tenant("")), (2, Tenant("d", 3.0))])
+    balancer.on_tenants(gateway.now_ns, [(2, Tenant("")), (2, Tenant("d", 3.0))])
     assert third is not None
     assert third is not balancer.tenants.quotas[2]  # the new tenant starts with a credit of its own
     gateway.run_for(3 * SECOND)
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -22,7 +22,7 @@
     serve(1000, 50 * MS)
     for _ in range(40):
         serve(10 * MS, 60 * MS)
-    assert gateway.balancer.endpoints.local_pool.current_delay(SECOND, gateway.now) > 20 * MS
+    assert gateway.balancer.endpoints.local_pool.current_delay(SECOND, gateway.now_ns) > 20 * MS
 
 
 def test_responses_that_waited_behind_others_hardly_raise_the_baseline_latency() -> None:
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -41,7 +41,7 @@
 
     def __init__(self, settings: Settings, entries: Sequence[EndpointEntry] = (), seed: int = 1) -> None:
         self.settings = settings
-        self.now = 0
+        self.now_ns = 0
         """Time of the simulated clock, ns."""
         self.attempts: list[AttemptRecord] = []
         """All attempts so far, in the order in which they were sent."""
@@ -60,16 +60,16 @@
 
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
         """Check and record an attempt; it is in flight until `end_attempt`."""
-        self.rule_checker.check_attempt(request_id, endpoint_id, self.now)
-        self.attempts.append(AttemptRecord(request_id, endpoint_id, timeout_ns, self.now))
+        self.rule_checker.check_attempt(request_id, endpoint_id, self.now_ns)
+        self.attempts.append(AttemptRecord(request_id, endpoint_id, timeout_ns, self.now_ns))
 
     def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule depends on it
         """Check and record a final response: a failure."""
-        self.rule_checker.check_fail(request_id, self.now)
+        self.rule_checker.check_fail(request_id, self.now_ns)
 
     def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - no rule depends on it
         """Check and record a final response: a rejection."""
-        self.rule_checker.check_reject(request_id, self.now)
+        self.rule_checker.check_reject(request_id, self.now_ns)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
         """Check that the cancellation is allowed; the attempt stays in flight until the test ends it."""
@@ -77,7 +77,7 @@
 
     def set_timer(self, token: int, delay_ns: int) -> None:
         """Set or replace the timer with this token."""
-        self.timers[token] = self.now + delay_ns
+        self.timers[token] = self.now_ns + delay_ns
 
     def watch_endpoints(self, active: bool) -> None:
         """Do nothing: a test delivers the endpoint list with `update_endpoint_list`."""
@@ -103,13 +103,13 @@
 
     def update_endpoint_list(self, kind: UpdateKind, entries: Sequence[EndpointEntry]) -> None:
         """Deliver an update from discovery: the endpoint list, changes of it, or a failed call."""
-        self.rule_checker.update_endpoint_list(kind, entries, self.now)
-        self.balancer.on_endpoint_list(self.now, kind, entries)
+        self.rule_checker.update_endpoint_list(kind, entries, self.now_ns)
+        self.balancer.on_endpoint_list(self.now_ns, kind, entries)
 
     def apply_settings(self, settings: Settings) -> None:
         """Put other settings in force."""
         self.settings = self.rule_checker.settings = settings
-        self.balancer.on_settings(self.now, settings)
+        self.balancer.on_settings(self.now_ns, settings)
 
     def receive_request(
         self,
@@ -122,18 +122,20 @@
         self._last_request_id += 1
         request_class = self.settings.classes[class_index]
         effective_timeout_ns = request_class.deadline_ns if timeout_ns is None else timeout_ns
-        self.rule_checker.open_request(self._last_request_id, request_class, self.now + effective_timeout_ns)
+        self.rule_checker.open_request(
+            self._last_request_id, request_class, self.now_ns + effective_timeout_ns
+        )
         incoming = IncomingRequest(
             self._last_request_id, class_index, tenant_index, 0, effective_timeout_ns, cost_hint_ns, False
         )
-        self.balancer.on_request(self.now, incoming)
+        self.balancer.on_request(self.now_ns, incoming)
         return self._last_request_id
 
     def start_response(self, request_id: int) -> None:
         """Start a streamed response to the request's oldest attempt in flight."""
         self.rule_checker.start_response(request_id)
         attempt = min(self.requests[request_id].attempts_in_flight)
-        self.balancer.on_response_started(self.now, request_id, attempt)
+        self.balancer.on_response_started(self.now_ns, request_id, attempt)
 
     def end_attempt(
         self,
@@ -150,22 +152,22 @@
         record = self.requests[request_id]
         number = min(record.attempts_in_flight) if attempt is None else attempt
         endpoint_id = self.rule_checker.end_attempt(request_id, number, outcome)
-        duration_ns = self.now - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
+        duration_ns = self.now_ns - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
         result = AttemptResult(
             request_id, number, endpoint_id, outcome, max(duration_ns, 1), record.is_done, load_report
         )
-        self.balancer.on_attempt_ended(self.now, result)
+        self.balancer.on_attempt_ended(self.now_ns, result)
 
     def client_leaves(self, request_id: int) -> None:
         """Deliver the event that the client has closed its connection."""
         self.rule_checker.abandon_request(request_id)
-        self.balancer.on_client_gone(self.now, request_id)
+        self.balancer.on_client_gone(self.now_ns, request_id)
 
     # ---- Time ------------------------------------------------------------------------------------
 
     def run_for(self, duration_ns: int) -> None:
         """Advance the clock by this time, and call the balancer for each timer that expires."""
-        self.run_until(self.now + duration_ns)
+        self.run_until(self.now_ns + duration_ns)
 
     def run_until(self, end_ns: int) -> None:
         """Advance the clock to `end_ns`; each timer that expires calls the balancer at the next tick."""
@@ -174,10 +176,10 @@
             if expires_at_ns > end_ns:
                 break
             del self.timers[token]
-            self.now = max(self.now, _round_up(expires_at_ns, self.settings.tick_ns))
-            self.balancer.on_timer(self.now, token)
-        self.now = max(self.now, end_ns)
-        self.rule_checker.check_overdue(self.now)
+            self.now_ns = max(self.now_ns, _round_up(expires_at_ns, self.settings.tick_ns))
+            self.balancer.on_timer(self.now_ns, token)
+        self.now_ns = max(self.now_ns, end_ns)
+        self.rule_checker.check_overdue(self.now_ns)
 
     # ---- Observations ----------------------------------------------------------------------------
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -160,7 +160,7 @@
         gateway.end_attempt(request_id, outcome, attempt)
         if step.kind is StepKind.ATTEMPT_ENDED_TWICE:
             duplicate = AttemptResult(request_id, attempt, "h0", outcome, 1, False, ())
-            gateway.balancer.on_attempt_ended(gateway.now, duplicate)
+            gateway.balancer.on_attempt_ended(gateway.now_ns, duplicate)
 
     def _update_endpoint_list(self, step: Step) -> None:
         gateway = self.gateway
@@ -185,14 +185,14 @@
         }
         self._entries[number] = self._entries[number]._replace(
             state=states.get(step.kind, EndpointState.READY),
-            started_ns=self.gateway.now + 1 if step.kind is StepKind.ENDPOINT_RESTARTED else 0,
+            started_ns=self.gateway.now_ns + 1 if step.kind is StepKind.ENDPOINT_RESTARTED else 0,
         )
         self.gateway.update_endpoint_list(UpdateKind.DELTA, [self._entries[number]])
 
     def _change_tenants(self, step: Step) -> None:
         position = step.number % (self._tenant_count + 1)
         tenant = Tenant(f"t{step.number}", float(step.other % 3))
-        self.gateway.balancer.on_tenants(self.gateway.now, [(position, tenant)])
+        self.gateway.balancer.on_tenants(self.gateway.now_ns, [(position, tenant)])
         self._tenant_count = max(self._tenant_count, position + 1)
 
     def _change_settings(self, step: Step) -> None:
@@ -216,7 +216,7 @@
         )
 
     def _send_event_without_effect(self, step: Step) -> None:
-        balancer, now = self.gateway.balancer, self.gateway.now
+        balancer, now = self.gateway.balancer, self.gateway.now_ns
         if step.kind is StepKind.GOSSIP:
             balancer.on_gossip(now, step.number, b"\x00" * (step.number % 40))
         elif step.kind is StepKind.HEALTH_CHECKED:
