--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -66,7 +66,7 @@
             while record.attempts_in_flight:
                 gateway.end_attempt(request_id, Outcome.OVERLOADED, elapsed_ns=MS)
         gateway.run_for(100 * MS)
-    late = sum(attempt.sent_at > 10 * SECOND for attempt in gateway.attempts)
+    late = sum(attempt.sent_at_ns > 10 * SECOND for attempt in gateway.attempts)
     assert 1 <= late <= 30  # a few are still sent
     assert not gateway.violations
 
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -29,7 +29,7 @@
     request_id: int
     endpoint_id: EndpointId
     timeout_ns: int
-    sent_at: int
+    sent_at_ns: int
 
 
 class GatewayModel:
@@ -152,7 +152,7 @@
         record = self.requests[request_id]
         number = min(record.attempts_in_flight) if attempt is None else attempt
         endpoint_id = self.rule_checker.end_attempt(request_id, number, outcome)
-        duration_ns = self.now_ns - self.attempts[-1].sent_at if elapsed_ns is None else elapsed_ns
+        duration_ns = self.now_ns - self.attempts[-1].sent_at_ns if elapsed_ns is None else elapsed_ns
         result = AttemptResult(
             request_id, number, endpoint_id, outcome, max(duration_ns, 1), record.is_done, load_report
         )
