--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -60,6 +60,6 @@
     for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
         request_id = gateway.receive_request()
         gateway.run_for(elapsed_ns)
-        gateway.client_leaves(request_id)
+        gateway.close_client(request_id)
         gateway.end_attempt(request_id, Outcome.CANCELLED, elapsed_ns=elapsed_ns)
         assert (gateway.balancer.endpoints.by_id["h"].failure_share > 0) == counts_as_failure
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -158,7 +158,7 @@
         )
         self.balancer.on_attempt_ended(self.now_ns, result)
 
-    def client_leaves(self, request_id: int) -> None:
+    def close_client(self, request_id: int) -> None:
         """Deliver the event that the client has closed its connection."""
         self.rule_checker.abandon_request(request_id)
         self.balancer.on_client_gone(self.now_ns, request_id)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -126,7 +126,7 @@
                 self._change_tenants(step)
             case StepKind.CLIENT_GONE:
                 if self.gateway.requests:
-                    self.gateway.client_leaves(
+                    self.gateway.close_client(
                         list(self.gateway.requests)[step.number % len(self.gateway.requests)]
                     )
             case StepKind.ATTEMPT_ENDED | StepKind.ATTEMPT_ENDED_TWICE | StepKind.RESPONSE_STARTED:
