--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -8,7 +8,7 @@
 import pytest
 
 from balancer import MS, SECOND, Idempotency, IncomingRequest, Outcome, Tenant
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
@@ -32,8 +32,8 @@
     one, two = make_class(name="one"), make_class(Idempotency.NON_IDEMPOTENT, name="two")
     before = make_settings(one, two, tenants=(Tenant("a", 40.0),), over_quota_weight=0.05)
     gateway = GatewayModel(before, make_entries(4))
-    serve_one_by_one(gateway, 20, 30 * MS)
-    serve_one_by_one(gateway, 20, 60 * MS, class_index=1)
+    serve_sequentially(gateway, 20, 30 * MS)
+    serve_sequentially(gateway, 20, 60 * MS, class_index=1)
     request_id = gateway.receive_request(1)
     balancer = gateway.balancer
     open_request = balancer.lifecycle.requests[request_id]
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, SECOND, Outcome, UpdateKind
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.settings_builders import make_entries, make_settings
 
 
@@ -38,7 +38,7 @@
 def test_the_last_endpoint_that_is_not_ejected_does_not_get_the_capacity_of_all() -> None:
     """With two of three endpoints ejected, the third got the full limit, was congested and ejected too."""
     gateway = GatewayModel(make_settings(), make_entries(3))
-    serve_one_by_one(gateway, 30, 10 * MS)
+    serve_sequentially(gateway, 30, 10 * MS)
     endpoints = gateway.balancer.endpoints
     endpoints.local_pool.limit = 12.0
     for endpoint_id in ("h0", "h1"):
--- a/tests/balancer/test_delay_estimate.py
+++ b/tests/balancer/test_delay_estimate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, SECOND, Outcome
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.settings_builders import make_entry, make_settings
 
 
@@ -14,7 +14,7 @@
     overloaded.
     """
     gateway = GatewayModel(make_settings(), [make_entry("h")])
-    serve_one_by_one(gateway, 60, 10 * MS, 0)
+    serve_sequentially(gateway, 60, 10 * MS, 0)
     endpoint = gateway.balancer.endpoints.by_id["h"]
     gateway.balancer.endpoints.local_pool.limit = 9.0
     request_ids = [gateway.receive_request() for _ in range(3)]
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, Outcome
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
 
@@ -26,5 +26,5 @@
         slow.run_for((150 if is_large else 30) * MS)
         slow.end_attempt(request_id, Outcome.OK)
     slow.attempts.clear()
-    serve_one_by_one(slow, 40, 30 * MS)
+    serve_sequentially(slow, 40, 30 * MS)
     assert slow.attempts_by_endpoint()["large"] < 14  # half of the random pairs contain it: 20 of 40
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, Outcome, UpdateKind
-from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_sequentially
 from tests.support.settings_builders import make_entry, make_settings
 
 
@@ -13,7 +13,7 @@
     Requests that have waited for capacity have less time left than T1.
     """
     gateway = GatewayModel(make_settings(), [make_entry("good"), make_entry("silent")])
-    serve_one_by_one(gateway, 30, 20 * MS)
+    serve_sequentially(gateway, 30, 20 * MS)
     gateway.attempts.clear()
     for _ in range(40):
         request_id = gateway.receive_request(timeout_ns=150 * MS)
@@ -30,7 +30,7 @@
 def test_an_endpoint_in_slow_start_is_slow_without_a_queue() -> None:
     """Twice the baseline latency counted as queueing, so the zone's limit fell and requests spilled over."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
-    serve_one_by_one(gateway, 60, 50 * MS)
+    serve_sequentially(gateway, 60, 50 * MS)
     # Its speed is at least a third of the full speed.
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now_ns)])
     serve_all_in_flight(gateway, 20, 100 * MS)
@@ -55,8 +55,8 @@
     """One in eight is in flight for over twice the mean latency; if cancelled, it counted as a timeout."""
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     for _ in range(50):
-        serve_one_by_one(gateway, 1, 25 * MS)
-        serve_one_by_one(gateway, 1, 75 * MS)
+        serve_sequentially(gateway, 1, 25 * MS)
+        serve_sequentially(gateway, 1, 75 * MS)
     for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
         request_id = gateway.receive_request()
         gateway.run_for(elapsed_ns)
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_entries, make_settings
 
@@ -11,7 +11,7 @@
 def test_a_request_that_cannot_be_in_time_is_rejected_at_once() -> None:
     """A third of the work went to requests that had a quarter of the time left that a response takes."""
     gateway = GatewayModel(make_settings(), make_entries(4))
-    serve_one_by_one(gateway, 60, 200 * MS)
+    serve_sequentially(gateway, 60, 200 * MS)
     request_id = gateway.receive_request(timeout_ns=50 * MS)
     assert not gateway.final_responses.get(request_id)  # nothing is shed while all requests are in time
     gateway.balancer.load_shedder.missed_share = 1.0
@@ -26,7 +26,7 @@
 def test_a_class_that_is_shed_is_sent_again_as_a_trial() -> None:
     """A class considered too slow was never sent again, so no response could show that it had become fast."""
     gateway = GatewayModel(make_settings(), make_entries(4))
-    serve_one_by_one(gateway, 60, 900 * MS)
+    serve_sequentially(gateway, 60, 900 * MS)
     before = len(gateway.attempts)
     for _ in range(100):
         gateway.receive_request()
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -6,7 +6,7 @@
 
 from balancer import MS, SECOND, Idempotency, Outcome
 from balancer.outlier import MIN_BROKEN_STREAK, is_ejected
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.INVALID_RESPONSE, Outcome.RESET])
 def test_broken_responses_count_as_failures_only_in_a_row(outcome: Outcome) -> None:
     gateway = GatewayModel(make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("h")])
-    serve_one_by_one(gateway, 20, 20 * MS, 200 * MS)
+    serve_sequentially(gateway, 20, 20 * MS, 200 * MS)
     endpoint = gateway.balancer.endpoints.by_id["h"]
     for number in range(MIN_BROKEN_STREAK):
         request_id = gateway.receive_request()
@@ -88,7 +88,7 @@
 def test_an_endpoint_no_longer_ejected_gets_one_attempt_until_one_is_served() -> None:
     """The endpoint got as many attempts at once as its part of the limit, and all failed if it still hung."""
     gateway = GatewayModel(make_settings(), make_entries(2))
-    serve_one_by_one(gateway, 30, 10 * MS)
+    serve_sequentially(gateway, 30, 10 * MS)
     gateway.balancer.endpoints.local_pool.limit = 20.0
     failing = gateway.balancer.endpoints.by_id["h0"]
     for _ in range(3):
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -5,14 +5,14 @@
 import pytest
 
 from balancer import MS, SECOND, Idempotency, Outcome
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_settings
 
 
 def test_a_served_request_has_one_attempt_and_leaves_no_state() -> None:
     gateway = GatewayModel(make_settings(), make_entries(4))
-    serve_one_by_one(gateway, 1, 20 * MS)
+    serve_sequentially(gateway, 1, 20 * MS)
     assert len(gateway.attempts) == 1
     assert gateway.final_responses == {1: FinalResponse.SERVED}
     assert not gateway.balancer.lifecycle.requests
@@ -33,7 +33,7 @@
 ) -> None:
     """Requests with a 400 response were sent to a second endpoint, and both were avoided for seconds."""
     gateway = GatewayModel(make_settings(make_class(idempotency)), make_entries(4))
-    serve_one_by_one(gateway, 40, 20 * MS)
+    serve_sequentially(gateway, 40, 20 * MS)
     request_id = gateway.receive_request()
     before = len(gateway.attempts)
     gateway.end_attempt(request_id, Outcome.BAD_REQUEST, elapsed_ns=MS)
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, SECOND, DeduplicationScope, Idempotency, Outcome
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
@@ -62,11 +62,11 @@
     assert gateway.attempts[-1].timeout_ns == 300 * MS  # no latency is known yet: T1
     gateway.run_for(20 * MS)
     gateway.end_attempt(request_id, Outcome.OK)
-    serve_one_by_one(gateway, 60, 180 * MS)
+    serve_sequentially(gateway, 60, 180 * MS)
     gateway.receive_request()
     # The objective is 100 ms after T1, and a response takes 180 ms.
     assert gateway.attempts[-1].timeout_ns == SECOND
     fast = GatewayModel(make_settings(), make_entries(4))
-    serve_one_by_one(fast, 60, 20 * MS)
+    serve_sequentially(fast, 60, 20 * MS)
     fast.receive_request()
     assert fast.attempts[-1].timeout_ns == 300 * MS
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -8,7 +8,7 @@
 import pytest
 
 from balancer import MS, SECOND, EndpointState, Rules, UpdateKind
-from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_sequentially
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
 
@@ -33,13 +33,13 @@
             replicas=80, instance_number=number, rules=rules, zones=zones, zone=number % zones
         )
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
-        serve_one_by_one(gateway, 20, 80 * MS, 3120 * MS)
+        serve_sequentially(gateway, 20, 80 * MS, 3120 * MS)
         gone = make_entry("warm", state=EndpointState.GONE)
         starting = make_entry("starting", started_ns=gateway.now_ns)
         gateway.update_endpoint_list(UpdateKind.DELTA, [gone, starting])
         if number < 50:  # gateways whose next request arrives within the first two seconds
             gateway.run_for(number * 40 * MS)
-            serve_one_by_one(gateway, 1, 80 * MS)
+            serve_sequentially(gateway, 1, 80 * MS)
         sent += gateway.attempts_by_endpoint()["starting"]
     # One core serves 12.5 requests per second, and 0.3 to 0.44 of that in the first 2 s of slow start.
     assert sent < 3.0 * 0.3 * 12.5 * 2
@@ -58,7 +58,7 @@
     for number in range(gateways):
         settings = make_settings(replicas=gateways, instance_number=number, rules=rules)
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
-        serve_one_by_one(gateway, 20, 300 * MS, 3120 * MS)
+        serve_sequentially(gateway, 20, 300 * MS, 3120 * MS)
         replace_list_by_starting_endpoint(gateway)
         serve_all_in_flight(gateway, 20, 10 * MS)
         sent += gateway.attempts_by_endpoint()["starting"]
@@ -70,7 +70,7 @@
 def test_unused_slow_start_credit_does_not_accumulate() -> None:
     """Credit that is unused while no requests arrive does not add to the budget of later ones."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
-    serve_one_by_one(gateway, 60, 50 * MS)
+    serve_sequentially(gateway, 60, 50 * MS)
     replace_list_by_starting_endpoint(gateway)
     gateway.run_for(5 * SECOND)
     serve_all_in_flight(gateway, 20, MS)
@@ -91,8 +91,8 @@
     sent = []
     for queueing_delay in (0, 280 * MS):
         gateway = GatewayModel(make_settings(), [make_entry("warm")])
-        serve_one_by_one(gateway, 100, 20 * MS)
-        serve_one_by_one(gateway, 40, 20 * MS + queueing_delay)
+        serve_sequentially(gateway, 100, 20 * MS)
+        serve_sequentially(gateway, 40, 20 * MS + queueing_delay)
         replace_list_by_starting_endpoint(gateway)
         serve_all_in_flight(gateway, 200, 10 * MS)
         sent.append(gateway.attempts_by_endpoint()["starting"])
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -5,7 +5,7 @@
 import pytest
 
 from balancer import MS, SECOND, Outcome, Tenant
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_entries, make_entry, make_settings
 
@@ -17,7 +17,7 @@
         make_settings(tenants=tenants, over_quota_weight=0.05), [make_entry("a"), make_entry("b")]
     )
     gateway.balancer.endpoints.local_pool.limit = 6.0
-    serve_one_by_one(gateway, 30, 20 * MS)
+    serve_sequentially(gateway, 30, 20 * MS)
     over: list[int] = []
     within: list[int] = []
     # 60 requests per second with late responses; five in six are from the tenant over its quota.
@@ -59,7 +59,7 @@
 def test_changed_tenants_keep_their_credit() -> None:
     settings = make_settings(tenants=(Tenant("a", quota_per_s=10.0), Tenant("b")), over_quota_weight=0.05)
     gateway = GatewayModel(settings, make_entries(4))
-    serve_one_by_one(gateway, 4, 20 * MS, gap_ns=0)
+    serve_sequentially(gateway, 4, 20 * MS, gap_ns=0)
     balancer = gateway.balancer
     first = balancer.tenants.quotas[0]
     assert first is not None
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, SECOND, Outcome
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
 
@@ -30,7 +30,7 @@
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), [make_entry("h")])
     for _ in range(40):
         gateway.balancer.endpoints.local_pool.limit = 9.0
-        serve_one_by_one(gateway, 1, 10 * MS, 0)
+        serve_sequentially(gateway, 1, 10 * MS, 0)
         request_ids = [gateway.receive_request() for _ in range(5)]
         gateway.run_for(50 * MS)
         for request_id in request_ids:
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -20,7 +20,7 @@
 )
 from tests.support.rule_checker import RuleChecker
 
-__all__ = ["AttemptRecord", "GatewayModel", "serve_all_in_flight", "serve_one_by_one"]
+__all__ = ["AttemptRecord", "GatewayModel", "serve_all_in_flight", "serve_sequentially"]
 
 
 class AttemptRecord(NamedTuple):
@@ -196,7 +196,7 @@
         return Counter(attempt.endpoint_id for attempt in self.attempts)
 
 
-def serve_one_by_one(
+def serve_sequentially(
     gateway: GatewayModel, count: int, latency_ns: int, gap_ns: int = 10 * MS, class_index: int = 0
 ) -> None:
     """Deliver requests sequentially, each `gap_ns` after the response to the previous request."""
