--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -13,7 +13,7 @@
     gateway = GatewayModel(make_settings(), entries)
     for _ in range(60):
         request_id = gateway.receive_request()
-        while gateway.in_flight(request_id):
+        while gateway.attempts_in_flight(request_id):
             gateway.end_attempt(request_id, Outcome.OVERLOADED, elapsed_ns=MS)
         gateway.run_for(50 * MS)
     gateway.run_for(20 * MS)
--- a/tests/balancer/test_delay_estimate.py
+++ b/tests/balancer/test_delay_estimate.py
@@ -18,7 +18,7 @@
     endpoint = gateway.balancer.endpoints.by_id["h"]
     gateway.balancer.endpoints.local_pool.limit = 9.0
     request_ids = [gateway.receive_request() for _ in range(3)]
-    assert all(gateway.in_flight(request_id) for request_id in request_ids)
+    assert all(gateway.attempts_in_flight(request_id) for request_id in request_ids)
     gateway.run_for(200 * MS)
     for request_id in request_ids:
         gateway.end_attempt(request_id, Outcome.ERROR, elapsed_ns=200 * MS)
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -22,7 +22,7 @@
     slow = GatewayModel(make_settings(), [make_entry("large", weight=2.0), *make_entries(3)])
     for _ in range(80):
         request_id = slow.receive_request()
-        is_large = slow.in_flight(request_id)[0] == "large"
+        is_large = slow.attempts_in_flight(request_id)[0] == "large"
         slow.run_for((150 if is_large else 30) * MS)
         slow.end_attempt(request_id, Outcome.OK)
     slow.attempts.clear()
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -17,12 +17,12 @@
     gateway.attempts.clear()
     for _ in range(40):
         request_id = gateway.receive_request(timeout_ns=150 * MS)
-        if gateway.in_flight(request_id).get(0) == "good":
+        if gateway.attempts_in_flight(request_id).get(0) == "good":
             gateway.run_for(20 * MS)
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=20 * MS)
         else:
             gateway.run_for(200 * MS)
-            while gateway.in_flight(request_id):
+            while gateway.attempts_in_flight(request_id):
                 gateway.end_attempt(request_id, Outcome.CANCELLED, elapsed_ns=150 * MS)
     assert gateway.attempts_by_endpoint()["silent"] < 12
 
--- a/tests/balancer/test_load_report.py
+++ b/tests/balancer/test_load_report.py
@@ -14,7 +14,7 @@
     for _ in range(30):
         request_id = gateway.receive_request()
         gateway.run_for(20 * MS)
-        queue = 9.0 if gateway.in_flight(request_id)[0] == "busy" else 0.0
+        queue = 9.0 if gateway.attempts_in_flight(request_id)[0] == "busy" else 0.0
         gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=20 * MS, load_report=(queue, 40.0))
     endpoints = gateway.balancer.endpoints.by_id
     assert endpoints["busy"].smoothed_delay > 100 * MS
@@ -31,7 +31,7 @@
     for _ in range(150):
         request_id = gateway.receive_request()
         gateway.run_for(50 * MS)
-        for attempt, endpoint_id in list(gateway.in_flight(request_id).items()):
+        for attempt, endpoint_id in list(gateway.attempts_in_flight(request_id).items()):
             load_report = (1.0, 1.0 if zones[endpoint_id] else 9.0)
             gateway.end_attempt(request_id, Outcome.OK, attempt, elapsed_ns=50 * MS, load_report=load_report)
     spilled_over = [zones[attempt.endpoint_id] for attempt in gateway.attempts[-50:]]
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -20,7 +20,7 @@
     for _ in range(60):
         request_id = gateway.receive_request()
         gateway.run_for(5 * MS)
-        while in_flight := gateway.in_flight(request_id):
+        while in_flight := gateway.attempts_in_flight(request_id):
             outcome = Outcome.OVERLOADED if in_flight[min(in_flight)] == "full" else Outcome.OK
             gateway.end_attempt(request_id, outcome, elapsed_ns=5 * MS)
     assert gateway.attempts_by_endpoint()["full"] < 10
@@ -33,7 +33,7 @@
     )
     for _ in range(40):
         request_id = gateway.receive_request()
-        in_flight = gateway.in_flight(request_id)
+        in_flight = gateway.attempts_in_flight(request_id)
         gateway.run_for(20 * MS)
         if in_flight and in_flight[0] == "good":
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=20 * MS)
@@ -99,7 +99,9 @@
     before = gateway.attempts_by_endpoint()["h0"]
     request_ids = [gateway.receive_request() for _ in range(9)]
     assert gateway.attempts_by_endpoint()["h0"] - before == 1
-    first = next(request_id for request_id in request_ids if "h0" in gateway.in_flight(request_id).values())
+    first = next(
+        request_id for request_id in request_ids if "h0" in gateway.attempts_in_flight(request_id).values()
+    )
     gateway.run_for(10 * MS)
     gateway.end_attempt(first, Outcome.OK, elapsed_ns=10 * MS)
     for _ in range(5):
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -48,7 +48,7 @@
     gateway.end_attempt(request_ids[0], Outcome.RESET)
     request_ids += [gateway.receive_request() for _ in range(8)]  # uses up the limit
     for request_id in request_ids[1:]:
-        if gateway.in_flight(request_id):
+        if gateway.attempts_in_flight(request_id):
             gateway.balancer.endpoints.local_pool.limit = 0.0  # simulates congestion
     before = len(gateway.attempts)
     gateway.run_for(350 * MS)
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -183,7 +183,7 @@
 
     # ---- Observations ----------------------------------------------------------------------------
 
-    def in_flight(self, request_id: int) -> dict[int, EndpointId]:
+    def attempts_in_flight(self, request_id: int) -> dict[int, EndpointId]:
         """Return the endpoints of the attempts of a request that are in flight, by attempt number."""
         return self.requests[request_id].attempts_in_flight
 
@@ -203,7 +203,7 @@
     for _ in range(count):
         request_id = gateway.receive_request(class_index)
         gateway.run_for(latency_ns)
-        if gateway.in_flight(request_id):
+        if gateway.attempts_in_flight(request_id):
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=latency_ns)
         gateway.run_for(gap_ns)
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -155,7 +155,7 @@
             if record.request_class.streaming and not record.is_done:
                 gateway.start_response(request_id)
             return
-        attempt = min(gateway.in_flight(request_id))
+        attempt = min(gateway.attempts_in_flight(request_id))
         outcome = OUTCOMES[step.other % len(OUTCOMES)]
         gateway.end_attempt(request_id, outcome, attempt)
         if step.kind is StepKind.ATTEMPT_ENDED_TWICE:
