--- a/tests/balancer/test_protocol_rules.py
+++ b/tests/balancer/test_protocol_rules.py
@@ -8,7 +8,7 @@
 from balancer import MS, SECOND, DeduplicationScope, EndpointState, Idempotency, Limits, Outcome
 from balancer.discovery_polling import DiscoveryPolling
 from tests.support.gateway_model import GatewayModel
-from tests.support.scenario import MAX_NUMBER, Scenario, Step, StepKind
+from tests.support.scenario import MAX_STEP_NUMBER, Scenario, Step, StepKind
 from tests.support.settings_builders import make_class, make_entry, make_settings
 
 # Requests, outcomes and time steps are frequent, so that requests with many events are common.
@@ -20,7 +20,7 @@
     StepKind.SNAPSHOT: 2,
 }
 KINDS = [kind for kind in StepKind for _ in range(FREQUENCIES.get(kind, 1))]
-NUMBERS = st.integers(0, MAX_NUMBER)
+NUMBERS = st.integers(0, MAX_STEP_NUMBER)
 STEPS = st.lists(st.builds(Step, st.sampled_from(KINDS), NUMBERS, NUMBERS), min_size=10, max_size=80)
 
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -25,7 +25,7 @@
 from tests.support.gateway_model import GatewayModel
 from tests.support.settings_builders import make_class, make_entry, make_settings
 
-__all__ = ["MAX_NUMBER", "Scenario", "Step", "StepKind"]
+__all__ = ["MAX_STEP_NUMBER", "Scenario", "Step", "StepKind"]
 
 CLASSES: tuple[RequestClass, ...] = (
     make_class(name="safe"),
@@ -52,7 +52,7 @@
 ]
 TIMEOUTS_NS = [0, 1, 3 * MS, 80 * MS, *[SECOND] * 6]
 """Timeouts that requests choose from; 1 s, the deadline of their class, is the most frequent."""
-MAX_NUMBER = 400
+MAX_STEP_NUMBER = 400
 """Largest value of the numbers in a step."""
 UNKNOWN_TOKEN = 10_000
 """First timer token for events of timers that the balancer has not set."""
@@ -211,7 +211,7 @@
                 self.gateway.settings,
                 classes=classes,
                 replicas=step.other % 5 + 1,
-                over_quota_weight=step.number / MAX_NUMBER,
+                over_quota_weight=step.number / MAX_STEP_NUMBER,
             )
         )
 
