--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -85,8 +85,8 @@
     """A step of a scenario; its numbers select the request, the endpoint, the outcome and so on."""
 
     kind: StepKind
-    number: int
-    other: int
+    first_choice: int
+    second_choice: int
 
 
 class Scenario:
@@ -119,7 +119,7 @@
             case StepKind.REQUEST:
                 self._receive_request(step)
             case StepKind.TIME:
-                self.gateway.run_for(step.number * MS)
+                self.gateway.run_for(step.first_choice * MS)
             case StepKind.SETTINGS:
                 self._change_settings(step)
             case StepKind.TENANTS:
@@ -127,7 +127,7 @@
             case StepKind.CLIENT_GONE:
                 if self.gateway.requests:
                     self.gateway.close_client(
-                        list(self.gateway.requests)[step.number % len(self.gateway.requests)]
+                        list(self.gateway.requests)[step.first_choice % len(self.gateway.requests)]
                     )
             case StepKind.ATTEMPT_ENDED | StepKind.ATTEMPT_ENDED_TWICE | StepKind.RESPONSE_STARTED:
                 self._advance_request(step)
@@ -138,9 +138,9 @@
 
     def _receive_request(self, step: Step) -> None:
         self.gateway.receive_request(
-            step.number % len(CLASSES),
-            TIMEOUTS_NS[step.other % len(TIMEOUTS_NS)],
-            tenant_index=step.other % self._tenant_count if self._tenant_count else 0,
+            step.first_choice % len(CLASSES),
+            TIMEOUTS_NS[step.second_choice % len(TIMEOUTS_NS)],
+            tenant_index=step.second_choice % self._tenant_count if self._tenant_count else 0,
         )
 
     def _advance_request(self, step: Step) -> None:
@@ -149,14 +149,14 @@
         request_ids = gateway.requests_in_flight()
         if not request_ids:
             return
-        request_id = request_ids[step.number % len(request_ids)]
+        request_id = request_ids[step.first_choice % len(request_ids)]
         if step.kind is StepKind.RESPONSE_STARTED:
             record = gateway.requests[request_id]
             if record.request_class.streaming and not record.is_done:
                 gateway.start_response(request_id)
             return
         attempt = min(gateway.attempts_in_flight(request_id))
-        outcome = OUTCOMES[step.other % len(OUTCOMES)]
+        outcome = OUTCOMES[step.second_choice % len(OUTCOMES)]
         gateway.end_attempt(request_id, outcome, attempt)
         if step.kind is StepKind.ATTEMPT_ENDED_TWICE:
             duplicate = AttemptResult(request_id, attempt, "h0", outcome, 1, False, ())
@@ -168,7 +168,7 @@
             case StepKind.EMPTY_SNAPSHOT:
                 gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [])
             case StepKind.SNAPSHOT:
-                kind = UpdateKind.CACHED if step.number % 2 else UpdateKind.SNAPSHOT
+                kind = UpdateKind.CACHED if step.first_choice % 2 else UpdateKind.SNAPSHOT
                 gateway.update_endpoint_list(kind, self._entries)
             case StepKind.DISCOVERY_FAILED:
                 gateway.update_endpoint_list(UpdateKind.FAILED, [])
@@ -178,7 +178,7 @@
     def _change_endpoint(self, step: Step) -> None:
         if not self._entries:
             return
-        number = step.number % len(self._entries)
+        number = step.first_choice % len(self._entries)
         states = {
             StepKind.ENDPOINT_DRAINING: EndpointState.DRAINING,
             StepKind.ENDPOINT_GONE: EndpointState.GONE,
@@ -190,8 +190,8 @@
         self.gateway.update_endpoint_list(UpdateKind.DELTA, [self._entries[number]])
 
     def _change_tenants(self, step: Step) -> None:
-        position = step.number % (self._tenant_count + 1)
-        tenant = Tenant(f"t{step.number}", float(step.other % 3))
+        position = step.first_choice % (self._tenant_count + 1)
+        tenant = Tenant(f"t{step.first_choice}", float(step.second_choice % 3))
         self.gateway.balancer.on_tenants(self.gateway.now_ns, [(position, tenant)])
         self._tenant_count = max(self._tenant_count, position + 1)
 
@@ -200,9 +200,9 @@
         classes = tuple(
             replace(
                 item,
-                latency_objective_ns=(step.number + 1) * MS,
-                priority_weight=float(step.other + 1),
-                deduplication_window_ns=step.other * MS + 1 if item.deduplication_window_ns else 0,
+                latency_objective_ns=(step.first_choice + 1) * MS,
+                priority_weight=float(step.second_choice + 1),
+                deduplication_window_ns=step.second_choice * MS + 1 if item.deduplication_window_ns else 0,
             )
             for item in CLASSES
         )
@@ -210,16 +210,16 @@
             replace(
                 self.gateway.settings,
                 classes=classes,
-                replicas=step.other % 5 + 1,
-                over_quota_weight=step.number / MAX_STEP_NUMBER,
+                replicas=step.second_choice % 5 + 1,
+                over_quota_weight=step.first_choice / MAX_STEP_NUMBER,
             )
         )
 
     def _send_event_without_effect(self, step: Step) -> None:
         balancer, now = self.gateway.balancer, self.gateway.now_ns
         if step.kind is StepKind.GOSSIP:
-            balancer.on_gossip(now, step.number, b"\x00" * (step.number % 40))
+            balancer.on_gossip(now, step.first_choice, b"\x00" * (step.first_choice % 40))
         elif step.kind is StepKind.HEALTH_CHECKED:
             balancer.on_health_checked(now, HealthCheckResult("h1", Outcome.OK, MS, ()))
         else:
-            balancer.on_timer(now, UNKNOWN_TOKEN + step.number)
+            balancer.on_timer(now, UNKNOWN_TOKEN + step.first_choice)
