--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -112,12 +112,12 @@
         connects = DelayedConnects(monkeypatch, endpoint)
         client = await harness.connect()
         client.send(request(request_id="left"))
-        await connects.was_called.wait()
+        await connects.connect_called.wait()
         close_client(client)
         if close_client is half_close:  # the client may still read, so it gets a response
             assert (await client.read_response())[0] == 502
         await wait_until(lambda: not harness.gateway.dispatcher.open_requests())
-        connects.may_begin.set()
+        connects.connect_allowed.set()
         await check_only_other_request_is_sent(harness, endpoint)
 
 
--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -58,22 +58,22 @@
 
 
 class DelayedConnects:
-    """Delays the event loop's connection attempts to an endpoint until a test sets `may_begin`."""
+    """Delays the event loop's connection attempts to an endpoint until a test sets `connect_allowed`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
         self._create_connection = loop.create_connection
         self._address = endpoint.address
-        self.was_called = asyncio.Event()
-        self.may_begin = asyncio.Event()
+        self.connect_called = asyncio.Event()
+        self.connect_allowed = asyncio.Event()
         monkeypatch.setattr(loop, "create_connection", self.create_connection)
 
     async def create_connection(
         self, protocol_factory: ProtocolFactory, host: str, port: int, **options: Any
     ) -> Any:
         if f"{host}:{port}" == self._address:
-            self.was_called.set()
-            await self.may_begin.wait()
+            self.connect_called.set()
+            await self.connect_allowed.wait()
         return await self._create_connection(protocol_factory, host, port, **options)
 
 
