--- a/tests/gateway/test_client_departure.py
+++ b/tests/gateway/test_client_departure.py
@@ -239,7 +239,7 @@
         close_client(client)
         simulate_stall(monkeypatch)
         for protocol, transport in connected:
-            connects.report(protocol, transport)
+            connects.report_connected(protocol, transport)
         assert not dispatcher.open_requests()
         assert all(transport.is_closing() for _, transport in connected)
         client.sock.close()
@@ -261,7 +261,7 @@
         close_client(client)
         await wait_until(lambda: all(item.client_closing for item in dispatcher.open_requests()))
         simulate_stall(monkeypatch)
-        connects.report(*connected)
+        connects.report_connected(*connected)
         assert not dispatcher.open_requests()
         assert connected[1].is_closing()
 
--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -97,7 +97,7 @@
         return None
 
     @staticmethod
-    def report(protocol: asyncio.Protocol, transport: asyncio.Transport) -> None:
+    def report_connected(protocol: asyncio.Protocol, transport: asyncio.Transport) -> None:
         """Report to a protocol of the gateway that its connection is established."""
         transport.set_protocol(protocol)
         protocol.connection_made(transport)
