--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -9,7 +9,7 @@
 from balancer import SECOND, EndpointState, UpdateKind
 from gateway.discovery.discovery import FAST_RECONNECT_PERIOD_NS
 from gateway.timers import now_ns
-from tests.support.discovery import DRAIN_GRACE, ENTRY, DiscoveryHarness, address_of
+from tests.support.discovery import DRAIN_GRACE, ENTRY, DiscoveryHarness, split_address
 from tests.support.loopback import FakeDiscovery, FakeEndpoint, GatewayHarness, request, wait_until
 
 
@@ -42,9 +42,9 @@
     server.start_watch_response(old)
     server.write_watch_event(old, 42, [])
     await harness.updates.get()
-    discovery.move_to(address_of(third))  # changed again below: only the last address is used
+    discovery.move_to(split_address(third))  # changed again below: only the last address is used
     await third.calls.get()
-    discovery.move_to(address_of(other))
+    discovery.move_to(split_address(other))
     first, new = await other.calls.get()
     assert "from=0 " in first  # generations of different addresses are not comparable
     server.write_watch_event(old, 43, [{**ENTRY, "lifecycle": "terminating"}])
@@ -68,7 +68,7 @@
     other = await FakeDiscovery().start()
     discovery.watch(True)
     _, old = await server.calls.get()
-    discovery.move_to(address_of(other))
+    discovery.move_to(split_address(other))
     old.close()
     _, new = await other.calls.get()
     new.close()
@@ -84,7 +84,7 @@
     other = await FakeDiscovery().start()
     discovery.watch(True)
     await server.calls.get()
-    discovery.move_to(address_of(other))
+    discovery.move_to(split_address(other))
     discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS  # the period is over
     _, new = await other.calls.get()
     new.close()
@@ -101,7 +101,7 @@
     server.start_watch_response(old)
     server.write_watch_event(old, 42, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
-    discovery.move_to(address_of(other))
+    discovery.move_to(split_address(other))
     _, new = await other.calls.get()
     discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS  # the period is over when the first call fails
     new.close()
@@ -123,7 +123,7 @@
     server.start_watch_response(old)
     server.write_watch_event(old, 42, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
-    discovery.move_to(address_of(other))
+    discovery.move_to(split_address(other))
     await other.calls.get()
     old.close()  # the old address goes away soon after the change
     await wait_until(lambda: discovery.current_watch is None)
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -26,7 +26,7 @@
 CACHED_GENERATION = 41
 
 
-def address_of(server: FakeDiscovery) -> tuple[str, int]:
+def split_address(server: FakeDiscovery) -> tuple[str, int]:
     """Return the host and the port on which a server listens."""
     host, _, port = server.address.rpartition(":")
     return host, int(port)
@@ -55,7 +55,7 @@
         self.discovery = Discovery(
             loop,
             self.timers,
-            address_of(server),
+            split_address(server),
             EndpointListParser(["a", "b"], ["m1", "m2"]),
             is_pushed,
             DRAIN_GRACE,
