--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -9,7 +9,13 @@
 from balancer import SECOND, EndpointState, Outcome
 from gateway.timers import now_ns
 from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request
-from tests.support.upstream import MAX_OPEN, UpstreamHarness, address_of, age_idle_connections, open_listener
+from tests.support.upstream import (
+    MAX_OPEN,
+    UpstreamHarness,
+    age_idle_connections,
+    format_address,
+    open_listener,
+)
 
 
 async def test_connection_is_reused() -> None:
@@ -73,7 +79,7 @@
 ) -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(address_of(listener))
+        harness.list_endpoint(format_address(listener))
         _, result = harness.start_attempt()
         old_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(old_socket, 1000)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -11,14 +11,14 @@
 from gateway.upstream.connection import ConnectionState, EndpointConnection
 from gateway.upstream.endpoint import UpstreamEndpoint
 from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request, wait_until
-from tests.support.upstream import UpstreamHarness, address_of, full_listener, open_listener, peek
+from tests.support.upstream import UpstreamHarness, format_address, full_listener, open_listener, peek
 
 
 async def test_closed_port_gives_connect_failed() -> None:
     harness = UpstreamHarness()
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))  # bound, but not listening
-        harness.list_endpoint(address_of(free))
+        harness.list_endpoint(format_address(free))
         assert (await harness.start_attempt()[1])[0] is Outcome.CONNECT_FAILED
 
 
@@ -54,7 +54,7 @@
 async def test_reset_before_the_last_byte_is_written_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener(receive_buffer=4096) as listener:
-        harness.list_endpoint(address_of(listener))
+        harness.list_endpoint(format_address(listener))
         _, result = harness.start_attempt(body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 100)
@@ -65,7 +65,7 @@
 async def test_timeout_of_a_partly_written_request_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(address_of(listener))
+        harness.list_endpoint(format_address(listener))
         _, result = harness.start_attempt(300 * MS, body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
@@ -92,7 +92,7 @@
     """The transport closes its socket one loop iteration later; a retry could be sent before that."""
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(address_of(listener))
+        harness.list_endpoint(format_address(listener))
         attempt, result = harness.start_attempt()
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -74,7 +74,7 @@
     return listener
 
 
-def address_of(listener: socket.socket) -> str:
+def format_address(listener: socket.socket) -> str:
     """Return the address of a bound socket as `host:port`, the form that discovery uses."""
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
@@ -93,7 +93,7 @@
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
         fillers.append(sock)
-    return listener, fillers, address_of(listener)
+    return listener, fillers, format_address(listener)
 
 
 def peek(sock: socket.socket) -> bytes | None:
