--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -11,7 +11,7 @@
 from gateway.timers import Timers
 from tests.support.loopback import FakeDiscovery
 
-DRAIN_GRACE = 400 * MS
+DRAIN_GRACE_NS = 400 * MS
 ENTRY: dict[str, Any] = {
     "instanceId": "h0",
     "hostPort": "127.0.0.1:7070",
@@ -58,7 +58,7 @@
             split_address(server),
             EndpointListParser(["a", "b"], ["m1", "m2"]),
             is_pushed,
-            DRAIN_GRACE,
+            DRAIN_GRACE_NS,
             lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
         )
 
