--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -9,7 +9,7 @@
 from balancer import SECOND, EndpointState, UpdateKind
 from gateway.discovery.discovery import FAST_RECONNECT_PERIOD_NS
 from gateway.timers import now_ns
-from tests.support.discovery import DRAIN_GRACE_NS, ENTRY, DiscoveryHarness, split_address
+from tests.support.discovery import DRAIN_GRACE_NS, ENDPOINT_ENTRY, DiscoveryHarness, split_address
 from tests.support.loopback import FakeDiscovery, FakeEndpoint, GatewayHarness, request, wait_until
 
 
@@ -47,13 +47,13 @@
     discovery.move_to(split_address(other))
     first, new = await other.calls.get()
     assert "from=0 " in first  # generations of different addresses are not comparable
-    server.write_watch_event(old, 43, [{**ENTRY, "lifecycle": "terminating"}])
+    server.write_watch_event(old, 43, [{**ENDPOINT_ENTRY, "lifecycle": "terminating"}])
     kind, [endpoint] = await harness.updates.get()
     assert (kind, endpoint.entry.state) == (UpdateKind.DELTA, EndpointState.DRAINING)
     other.start_watch_response(new)
-    other.write_watch_event(new, 7, [ENTRY], reset=True)
+    other.write_watch_event(new, 7, [ENDPOINT_ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
-    server.write_watch_event(old, 44, [{**ENTRY, "lifecycle": "terminated"}])
+    server.write_watch_event(old, 44, [{**ENDPOINT_ENTRY, "lifecycle": "terminated"}])
     other.write_watch_event(new, 8, [])
     assert await harness.updates.get() == (UpdateKind.DELTA, [])  # no update of the old watch in between
     new.close()
@@ -74,7 +74,7 @@
     new.close()
     _, new = await other.calls.get()
     other.start_watch_response(new)
-    other.write_watch_event(new, 7, [ENTRY], reset=True)
+    other.write_watch_event(new, 7, [ENDPOINT_ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT  # no failure was reported before it
 
 
@@ -108,7 +108,7 @@
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
     _, new = await asyncio.wait_for(other.calls.get(), 5)
     other.start_watch_response(new)
-    other.write_watch_event(new, 7, [ENTRY], reset=True)
+    other.write_watch_event(new, 7, [ENDPOINT_ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
 
 
@@ -136,7 +136,7 @@
         discovery.watch(True)
     _, new = await other.calls.get()
     other.start_watch_response(new)
-    other.write_watch_event(new, 7, [ENTRY], reset=True)
+    other.write_watch_event(new, 7, [ENDPOINT_ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
 
 
--- a/tests/gateway/test_discovery_calls.py
+++ b/tests/gateway/test_discovery_calls.py
@@ -10,7 +10,7 @@
 from balancer import SECOND, EndpointState, UpdateKind
 from gateway.discovery.call import MAX_LINE_BYTES
 from gateway.timers import now_ns
-from tests.support.discovery import ENTRY, DiscoveryHarness
+from tests.support.discovery import ENDPOINT_ENTRY, DiscoveryHarness
 from tests.support.loopback import wait_until
 
 
@@ -23,10 +23,10 @@
     assert first == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
     server.start_watch_response(writer)
     server.write_chunk(writer, b"\n")
-    server.write_watch_event(writer, 43, [{**ENTRY, "lifecycle": "terminating"}])
+    server.write_watch_event(writer, 43, [{**ENDPOINT_ENTRY, "lifecycle": "terminating"}])
     kind, [endpoint] = await harness.updates.get()
     assert (kind, endpoint.entry.state) == (UpdateKind.DELTA, EndpointState.DRAINING)
-    server.write_watch_event(writer, 44, [ENTRY], reset=True)
+    server.write_watch_event(writer, 44, [ENDPOINT_ENTRY], reset=True)
     assert (await harness.updates.get())[0] is UpdateKind.SNAPSHOT
     writer.close()
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
@@ -67,7 +67,7 @@
     _, writer = await server.calls.get()
     server.start_watch_response(writer)
     for generation in (43, 44):
-        rows = [ENTRY, {**ENTRY, "instanceId": "h1"}]
+        rows = [ENDPOINT_ENTRY, {**ENDPOINT_ENTRY, "instanceId": "h1"}]
         server.write_chunk(
             writer,
             json.dumps({"generation": generation, "instances": rows, "reset": False}, indent=indent).encode()
@@ -149,7 +149,7 @@
     await server.calls.get()
     call = discovery.current_watch
     assert call is not None
-    line = json.dumps({"generation": 43, "instances": [ENTRY]}).encode() + b"\n"
+    line = json.dumps({"generation": 43, "instances": [ENDPOINT_ENTRY]}).encode() + b"\n"
     text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line)
     for byte in text:  # as if each byte arrived in a segment of its own
         call.data_received(bytes([byte]))
--- a/tests/gateway/test_endpoint_list_parser.py
+++ b/tests/gateway/test_endpoint_list_parser.py
@@ -8,17 +8,17 @@
 
 from balancer import SECOND, EndpointState
 from gateway.discovery import EndpointListError, EndpointListParser
-from tests.support.discovery import ENTRY
+from tests.support.discovery import ENDPOINT_ENTRY
 
 
 def make_parser() -> EndpointListParser:
-    """A parser that knows the zones and machine types of `ENTRY`."""
+    """A parser that knows the zones and machine types of `ENDPOINT_ENTRY`."""
     return EndpointListParser(["a", "b"], ["m1", "m2"])
 
 
 def test_entry_is_parsed() -> None:
-    newer = {**ENTRY, "instanceId": "h1", "startedAtMs": 5000}
-    document = {"generation": 41, "reset": True, "instances": [ENTRY, newer]}
+    newer = {**ENDPOINT_ENTRY, "instanceId": "h1", "startedAtMs": 5000}
+    document = {"generation": 41, "reset": True, "instances": [ENDPOINT_ENTRY, newer]}
     update = make_parser().parse(document, 60 * SECOND)
     (entry, address), (other, _) = update.endpoints
     assert (update.generation, update.is_snapshot, address) == (41, True, ("127.0.0.1", 7070))
@@ -41,7 +41,10 @@
     ],
 )
 def test_invalid_entry_is_dropped_and_the_others_are_used(change: dict[str, Any]) -> None:
-    document = {"generation": 41, "instances": [{**ENTRY, **change}, {**ENTRY, "instanceId": "h1"}, None]}
+    document = {
+        "generation": 41,
+        "instances": [{**ENDPOINT_ENTRY, **change}, {**ENDPOINT_ENTRY, "instanceId": "h1"}, None],
+    }
     endpoints = make_parser().parse(document, SECOND).endpoints
     assert [endpoint.entry.endpoint_id for endpoint in endpoints] == ["h1"]
 
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -12,7 +12,7 @@
 from tests.support.loopback import FakeDiscovery
 
 DRAIN_GRACE_NS = 400 * MS
-ENTRY: dict[str, Any] = {
+ENDPOINT_ENTRY: dict[str, Any] = {
     "instanceId": "h0",
     "hostPort": "127.0.0.1:7070",
     "zone": "b",
@@ -67,7 +67,7 @@
         """Start a server and a `Discovery` that has loaded its cached list."""
         harness = cls(await FakeDiscovery().start(), is_pushed)
         harness.discovery.load_cached_list(
-            {"generation": CACHED_GENERATION, "reset": True, "instances": [ENTRY]}
+            {"generation": CACHED_GENERATION, "reset": True, "instances": [ENDPOINT_ENTRY]}
         )
         kind, endpoints = await harness.updates.get()
         assert (kind, len(endpoints)) == (UpdateKind.CACHED, 1)
