--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -30,7 +30,7 @@
         _, writer = await server.calls.get()
         writer.close()
         assert await harness.updates.get() == (UpdateKind.FAILED, [])
-        assert max(harness.timers.delays) <= DRAIN_GRACE_NS // 2
+        assert max(harness.timers.delays_ns) <= DRAIN_GRACE_NS // 2
 
 
 async def test_old_watch_is_used_until_the_first_update_of_a_new_address() -> None:
@@ -131,7 +131,7 @@
     discovery.sweep(now_ns() + 17 * SECOND // 4)
     assert await harness.updates.get() == (UpdateKind.FAILED, [])
     if is_pushed:  # the balancer does not open watches
-        assert harness.timers.delays[-1] <= DRAIN_GRACE_NS // 2
+        assert harness.timers.delays_ns[-1] <= DRAIN_GRACE_NS // 2
     else:  # the balancer reopens a failed watch within a second
         discovery.watch(True)
     _, new = await other.calls.get()
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -37,10 +37,10 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self.delays: list[int] = []
+        self.delays_ns: list[int] = []
 
     def call_after(self, delay_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        self.delays.append(delay_ns)
+        self.delays_ns.append(delay_ns)
         super().call_after(delay_ns, call, argument)
 
 
