--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -10,7 +10,7 @@
 from gateway.timers import now_ns
 from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request
 from tests.support.upstream import (
-    MAX_OPEN,
+    MAX_CONNECTIONS,
     UpstreamHarness,
     age_idle_connections,
     format_address,
@@ -32,7 +32,7 @@
 async def test_cancelled_connects_free_their_slots() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
     harness.list_endpoint(endpoint.address)
-    for _ in range(2 * MAX_OPEN):
+    for _ in range(2 * MAX_CONNECTIONS):
         attempt, result = harness.start_attempt()
         harness.upstream.cancel_attempt(attempt)
         assert (await result)[0] is Outcome.CANCELLED
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -13,7 +13,7 @@
 from gateway.upstream.endpoint import REUSE_DELAY
 
 REQUEST_HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
-MAX_OPEN = 20
+MAX_CONNECTIONS = 20
 """Maximum number of connections that the harness's upstream may have open."""
 
 
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.timers = Timers(loop)
-        self.upstream = Upstream(loop, self.timers, MAX_OPEN, 250 * MS, 15 * SECOND)
+        self.upstream = Upstream(loop, self.timers, MAX_CONNECTIONS, 250 * MS, 15 * SECOND)
 
     def list_endpoint(
         self, address: str, state: EndpointState = EndpointState.READY, started_ns: int = 0
