--- a/tests/gateway/test_response_parser.py
+++ b/tests/gateway/test_response_parser.py
@@ -81,7 +81,7 @@
 )
 async def test_response_maps_to_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(reply)
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("length", range(0, 60, 7))
 async def test_reset_does_not_complete_a_response_without_a_length(length: int) -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\nthe whole of the body"[:length])
@@ -107,7 +107,7 @@
 
 async def test_second_response_does_not_change_the_outcome_of_the_first() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     for first, second, outcome in (
         (OK_RESPONSE, b"HTTP/1.1 503 " + REJECTION, Outcome.OK),
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", OK_RESPONSE, Outcome.ERROR),
@@ -121,7 +121,7 @@
 
 async def test_response_followed_by_other_data_is_invalid() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
     received = await endpoint.received.get()
     # Content-Length may be too small, or the rest is unrelated data.
@@ -132,7 +132,7 @@
 
 async def test_large_body_in_pieces_does_not_count_towards_the_head() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 30000)
--- a/tests/gateway/test_upstream.py
+++ b/tests/gateway/test_upstream.py
@@ -31,7 +31,7 @@
 
 async def test_cancelled_connects_free_their_slots() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     for _ in range(2 * MAX_CONNECTIONS):
         attempt, result = harness.start_attempt()
         harness.upstream.cancel_attempt(attempt)
@@ -42,13 +42,13 @@
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
 async def test_connections_are_not_reused_after_the_endpoint_changed(change: str) -> None:
     harness, endpoint, second = UpstreamHarness(), await FakeEndpoint().start(), await FakeEndpoint().start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     assert (await harness.start_attempt()[1])[0] is Outcome.OK
     age_idle_connections(harness.upstream)  # old enough to be reused
     received = await endpoint.received.get()
     if change == "gone":
-        harness.list_endpoint(endpoint.address, EndpointState.GONE)
-    harness.list_endpoint(
+        harness.update_endpoint(endpoint.address, EndpointState.GONE)
+    harness.update_endpoint(
         second.address if change == "move" else endpoint.address, started_ns=5 if change == "restart" else 0
     )
     await received.wait_closed()
@@ -58,7 +58,7 @@
 
 async def test_newest_connection_is_reused_and_old_idle_ones_are_closed() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     results = [harness.start_attempt()[1] for _ in range(2)]
     received = [await endpoint.received.get() for _ in range(2)]
     for item, result in zip(received, results, strict=True):
@@ -79,7 +79,7 @@
 ) -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(format_address(listener))
+        harness.update_endpoint(format_address(listener))
         _, result = harness.start_attempt()
         old_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(old_socket, 1000)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -18,7 +18,7 @@
     harness = UpstreamHarness()
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))  # bound, but not listening
-        harness.list_endpoint(format_address(free))
+        harness.update_endpoint(format_address(free))
         assert (await harness.start_attempt()[1])[0] is Outcome.CONNECT_FAILED
 
 
@@ -27,7 +27,7 @@
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     listener, fill, address = full_listener()
     with listener:
-        harness.list_endpoint(address)
+        harness.update_endpoint(address)
         _, result = harness.start_attempt(within)
         assert (await result)[0] is Outcome.CONNECT_FAILED
         listener.setblocking(False)
@@ -44,9 +44,9 @@
 
 async def test_no_request_is_sent_to_an_endpoint_that_drained_during_the_connect() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint().start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
-    harness.list_endpoint(endpoint.address, EndpointState.DRAINING)
+    harness.update_endpoint(endpoint.address, EndpointState.DRAINING)
     assert (await result)[0] is Outcome.CONNECT_FAILED
     assert endpoint.received.empty()
 
@@ -54,7 +54,7 @@
 async def test_reset_before_the_last_byte_is_written_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener(receive_buffer=4096) as listener:
-        harness.list_endpoint(format_address(listener))
+        harness.update_endpoint(format_address(listener))
         _, result = harness.start_attempt(body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         await loop.sock_recv(accepted, 100)
@@ -65,7 +65,7 @@
 async def test_timeout_of_a_partly_written_request_gives_connect_failed() -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(format_address(listener))
+        harness.update_endpoint(format_address(listener))
         _, result = harness.start_attempt(300 * MS, body=b"x" * 20_000_000)
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
@@ -74,7 +74,7 @@
 
 async def test_cancellation_and_timeout_close_the_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     attempt, result = harness.start_attempt()
     received = await endpoint.received.get()
     harness.upstream.cancel_attempt(attempt)
@@ -92,7 +92,7 @@
     """The transport closes its socket one loop iteration later; a retry could be sent before that."""
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
     with open_listener() as listener:
-        harness.list_endpoint(format_address(listener))
+        harness.update_endpoint(format_address(listener))
         attempt, result = harness.start_attempt()
         accepted, _ = await loop.sock_accept(listener)
         with accepted:
@@ -133,7 +133,7 @@
 
 async def test_unexpected_data_closes_an_idle_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     _, result = harness.start_attempt()
     received = await endpoint.received.get()
     received.reply(OK_RESPONSE + OK_RESPONSE)
@@ -158,7 +158,7 @@
 
 async def test_states_of_a_connection() -> None:
     harness, endpoint = UpstreamHarness(), await FakeEndpoint(reply=None).start()
-    harness.list_endpoint(endpoint.address)
+    harness.update_endpoint(endpoint.address)
     attempt, result = harness.start_attempt()
     connection = attempt.connection
     assert connection is not None
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -25,7 +25,7 @@
         self.timers = Timers(loop)
         self.upstream = Upstream(loop, self.timers, MAX_CONNECTIONS, 250 * MS, 15 * SECOND)
 
-    def list_endpoint(
+    def update_endpoint(
         self, address: str, state: EndpointState = EndpointState.READY, started_ns: int = 0
     ) -> None:
         """Send the upstream a delta of the endpoint list with its one endpoint."""
