--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -11,7 +11,7 @@
 from gateway.upstream.connection import ConnectionState, EndpointConnection
 from gateway.upstream.endpoint import UpstreamEndpoint
 from tests.support.loopback import OK_RESPONSE, FakeEndpoint, GatewayHarness, request, wait_until
-from tests.support.upstream import UpstreamHarness, format_address, full_listener, open_listener, peek
+from tests.support.upstream import UpstreamHarness, format_address, open_full_listener, open_listener, peek
 
 
 async def test_closed_port_gives_connect_failed() -> None:
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
 async def test_connection_established_late_sends_nothing(within: int) -> None:
     harness, loop = UpstreamHarness(), asyncio.get_running_loop()
-    listener, fill, address = full_listener()
+    listener, fill, address = open_full_listener()
     with listener:
         harness.update_endpoint(address)
         _, result = harness.start_attempt(within)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -79,7 +79,7 @@
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def full_listener() -> tuple[socket.socket, list[socket.socket], str]:
+def open_full_listener() -> tuple[socket.socket, list[socket.socket], str]:
     """Open a listener whose accept queue is full, so that connections to it stay pending.
 
     Return the listener, the sockets that fill its queue, and its address.
