--- a/scale/records.py
+++ b/scale/records.py
@@ -58,7 +58,7 @@
     intercept: float
     largest_size: float
 
-    def at(self, size: float) -> Figure:
+    def predict(self, size: float) -> Figure:
         """Return the predicted value at a size."""
         return Figure(self.intercept + self.slope * size, size > self.largest_size)
 
@@ -141,7 +141,7 @@
         if len(pairs) < MIN_POINTS or len(set(sizes)) < 2:
             continue
         fitted = fit(sizes, values)
-        extrapolated = fitted.at(EXTRAPOLATION_FACTOR * fitted.largest_size)
+        extrapolated = fitted.predict(EXTRAPOLATION_FACTOR * fitted.largest_size)
         rows.append(
             [
                 name,
--- a/tests/scale/test_records.py
+++ b/tests/scale/test_records.py
@@ -13,8 +13,8 @@
 def test_fit_has_slope_and_standard_error_and_marks_extrapolated_figures() -> None:
     exact = fit([1, 2, 3, 3], [5, 7, 9, 9])
     assert [exact.slope, exact.intercept, exact.slope_spread] == pytest.approx([2.0, 3.0, 0.0], abs=1e-9)
-    assert [exact.at(3).value, exact.at(30).value] == pytest.approx([9.0, 63.0])
-    assert [exact.at(3).extrapolated, exact.at(30).extrapolated] == [False, True]
+    assert [exact.predict(3).value, exact.predict(30).value] == pytest.approx([9.0, 63.0])
+    assert [exact.predict(3).extrapolated, exact.predict(30).extrapolated] == [False, True]
     noisy = fit([0, 1, 2], [0, 1, 1])
     assert [noisy.slope, noisy.slope_spread] == pytest.approx([0.5, 12**-0.5])
     for sizes in ([1, 2], [2, 2, 2]):
