--- a/scale/records.py
+++ b/scale/records.py
@@ -51,10 +51,10 @@
 
 
 class Fit(NamedTuple):
-    """A linear fit of a figure over sizes; `slope_spread` is the standard error of the slope."""
+    """A linear fit of a figure over sizes; `slope_standard_error` is the standard error of the slope."""
 
     slope: float
-    slope_spread: float
+    slope_standard_error: float
     intercept: float
     largest_size: float
 
@@ -146,7 +146,7 @@
             [
                 name,
                 f"{fitted.slope:.4g}",
-                f"{fitted.slope_spread:.2g}",
+                f"{fitted.slope_standard_error:.2g}",
                 f"{fitted.intercept:.4g}",
                 f"{extrapolated.value:.4g}{' (extrapolated)' if extrapolated.extrapolated else ''}",
             ]
--- a/tests/scale/test_records.py
+++ b/tests/scale/test_records.py
@@ -12,11 +12,13 @@
 
 def test_fit_has_slope_and_standard_error_and_marks_extrapolated_figures() -> None:
     exact = fit([1, 2, 3, 3], [5, 7, 9, 9])
-    assert [exact.slope, exact.intercept, exact.slope_spread] == pytest.approx([2.0, 3.0, 0.0], abs=1e-9)
+    assert [exact.slope, exact.intercept, exact.slope_standard_error] == pytest.approx(
+        [2.0, 3.0, 0.0], abs=1e-9
+    )
     assert [exact.predict(3).value, exact.predict(30).value] == pytest.approx([9.0, 63.0])
     assert [exact.predict(3).extrapolated, exact.predict(30).extrapolated] == [False, True]
     noisy = fit([0, 1, 2], [0, 1, 1])
-    assert [noisy.slope, noisy.slope_spread] == pytest.approx([0.5, 12**-0.5])
+    assert [noisy.slope, noisy.slope_standard_error] == pytest.approx([0.5, 12**-0.5])
     for sizes in ([1, 2], [2, 2, 2]):
         with pytest.raises(ValueError, match="three points at two sizes"):
             fit(sizes, [1.0] * len(sizes))
