--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from .experiments import EXPERIMENTS, Experiment
-from .records import append, format_fits, format_table
+from .records import append_record, format_fits, format_table
 
 
 def _parse_options(experiment: Experiment, assignments: tuple[str, ...]) -> dict[str, float]:
@@ -78,7 +78,9 @@
     for run in range(runs):
         for size in sizes or chosen.sizes:
             figures, failed = _run(chosen, size, seed + run, options, limit_s)
-            records.append(append(out, experiment, size, seed + run, run, sys.argv[1:], figures, failed))
+            records.append(
+                append_record(out, experiment, size, seed + run, run, sys.argv[1:], figures, failed)
+            )
             print(f"{experiment} {size} run {run}: {failed or 'done'}", file=sys.stderr, flush=True)
     print(format_table(records))
     print()
--- a/scale/records.py
+++ b/scale/records.py
@@ -15,7 +15,7 @@
 
 from . import ROOT
 
-__all__ = ["Figure", "Fit", "RunRecord", "append", "fit", "format_fits", "format_table"]
+__all__ = ["Figure", "Fit", "RunRecord", "append_record", "fit", "format_fits", "format_table"]
 
 EXTRAPOLATION_FACTOR = 10
 """Multiple of the largest size run at which fits are evaluated; the result is marked as extrapolated."""
@@ -76,7 +76,7 @@
     return Fit(slope, standard_error, intercept, float(x.max()))
 
 
-def append(
+def append_record(
     path: Path,
     experiment: str,
     size: int,
--- a/tests/scale/test_records.py
+++ b/tests/scale/test_records.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from scale.records import append, fit, format_fits, format_table
+from scale.records import append_record, fit, format_fits, format_table
 
 
 def test_fit_has_slope_and_standard_error_and_marks_extrapolated_figures() -> None:
@@ -26,8 +26,8 @@
 
 def test_each_run_is_one_line_and_a_failed_run_has_no_figures(tmp_path: Path) -> None:
     out = tmp_path / "r"
-    records = [append(out, "x", size, 1, 0, ["x"], {"cost_ms": 2.0 * size}) for size in (1, 2, 4)]
-    records.append(append(out, "x", 8, 1, 0, ["x"], {}, "OSError: no"))
+    records = [append_record(out, "x", size, 1, 0, ["x"], {"cost_ms": 2.0 * size}) for size in (1, 2, 4)]
+    records.append(append_record(out, "x", 8, 1, 0, ["x"], {}, "OSError: no"))
     assert [json.loads(line) for line in out.read_text().splitlines()] == records
     assert set(records[0]) == {
         "experiment",
