--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -130,7 +130,7 @@
                     await wait_until(lambda: registry.watch_count > 0, WATCH_TIMEOUT_S)
                     arguments = _load_arguments(gateway.address, configuration, rate, seconds, seed)
                     async with module_process("scale.load", *arguments) as load:
-                        result = await _measure(gateway.statistics, load, plan, fleet, registry)
+                        result = await _measure(gateway.psutil_process, load, plan, fleet, registry)
                     if gateway.returncode is not None:
                         raise RuntimeError(f"the gateway has ended with exit code {gateway.returncode}")
                 finally:
--- a/scale/experiments/settings.py
+++ b/scale/experiments/settings.py
@@ -92,7 +92,7 @@
 
 async def _reload(gateway: GatewayProcess) -> dict[str, float]:
     """Send SIGHUP and return the cost until the gateway accepts the new tenant."""
-    process = gateway.statistics
+    process = gateway.psutil_process
     quiet_until_ns = monotonic_ns() + QUIET_TIME_NS
     quiet_ms = await _longest_health_check_ms(gateway, lambda: monotonic_ns() >= quiet_until_ns)
     rss_before_bytes, cpu_before_s = process.memory_info().rss, sum(process.cpu_times()[:2])
--- a/scale/gateway_process.py
+++ b/scale/gateway_process.py
@@ -65,7 +65,7 @@
         return self._process.returncode
 
     @property
-    def statistics(self) -> psutil.Process:
+    def psutil_process(self) -> psutil.Process:
         """Process handle of psutil, for CPU time and memory."""
         assert self._process is not None
         return psutil.Process(self._process.pid)
