--- a/scale/experiments/gateways.py
+++ b/scale/experiments/gateways.py
@@ -60,7 +60,7 @@
             await pool.in_force_ns(registry.generation)
             figures = await _publish(pool, registry, "change", fleet.drain(1))
             figures |= await _publish(pool, registry, "zone", fleet.lose_zone(fleet.zones[-1]))
-            await pool.end()
+            await pool.kill()
             await wait_until(lambda: not registry.watch_count, WATCH_TIMEOUT_S)
             registry.publish(fleet.replace(1))
             await pool.launch(configuration, size, PROCESSES)
--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -134,7 +134,7 @@
                     if gateway.returncode is not None:
                         raise RuntimeError(f"the gateway has ended with exit code {gateway.returncode}")
                 finally:
-                    await gateway.end()
+                    await gateway.kill()
                 return result
         finally:
             await registry.close()
--- a/scale/experiments/settings.py
+++ b/scale/experiments/settings.py
@@ -81,7 +81,7 @@
             await wait_until(lambda: second_registry.watch_count > 0, TIMEOUT_S)
             return figures | await _restart(gateway, second_registry)
         finally:
-            await gateway.end()
+            await gateway.kill()
             await first_registry.close()
             await second_registry.close()
 
@@ -119,7 +119,7 @@
 
 async def _restart(gateway: GatewayProcess, registry: Registry) -> dict[str, float]:
     """Kill and restart the gateway; return the time until it is ready and until it has the endpoint list."""
-    await gateway.end()
+    await gateway.kill()
     begun_ns = monotonic_ns()
     await gateway.start()
     async with asyncio.timeout(TIMEOUT_S):
--- a/scale/gateway_process.py
+++ b/scale/gateway_process.py
@@ -75,7 +75,7 @@
         assert self._process is not None
         self._process.send_signal(number)
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process if it is running, and wait until its log is read."""
         if self._process is None:
             return
--- a/scale/headless_pool.py
+++ b/scale/headless_pool.py
@@ -29,7 +29,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.end()
+        await self.kill()
         self._directory.cleanup()
 
     async def launch(self, configuration: dict[str, Any], gateways: int, processes: int = 1) -> None:
@@ -71,7 +71,7 @@
             "hold_ms": max(response["hold_ms"] for response in responses),
         }
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill all processes (SIGKILL) and wait for them."""
         for process in self.processes:
             if process.returncode is None:
