--- a/scale/experiments/endpoints.py
+++ b/scale/experiments/endpoints.py
@@ -37,7 +37,7 @@
             configuration = make_configuration(fleet, replicas, discovery=registry.address, pushed=True)
             configuration["known"] = {"generation": 0, "reset": True, "instances": []}
             await pool.launch(configuration, 1)
-            figures = {"start_rss_mb": (await pool.take_figures())["rss_mb"]}
+            figures = {"start_rss_mb": (await pool.read_and_reset_figures())["rss_mb"]}
             begun_ns = await pool.start()
             figures |= await _update_figures(pool, registry, "list", begun_ns, 0)
             figures |= _summarize_changes(
@@ -71,7 +71,7 @@
     pool: WorkerPool, registry: Registry, name: str, begun_ns: int, bytes_before: int
 ) -> dict[str, float]:
     [in_force_ns] = await pool.in_force_ns(registry.generation)
-    figures = await pool.take_figures()
+    figures = await pool.read_and_reset_figures()
     return {
         f"{name}_parse_ms": figures["parse_ms"],
         f"{name}_sockets_ms": figures["sockets_ms"],
--- a/scale/experiments/gateways.py
+++ b/scale/experiments/gateways.py
@@ -76,7 +76,7 @@
 ) -> dict[str, float]:
     """Publish a change and return its figures; `name` is the prefix of their names."""
     measurement = _UpdateMeasurement(registry)
-    await pool.take_figures()
+    await pool.read_and_reset_figures()
     registry.publish(changed)
     return await measurement.end(name, pool)
 
@@ -94,7 +94,7 @@
         """Wait until the generation is in force at every gateway; return figures with the prefix `name`."""
         counts = self._registry.counts
         delays_ns = np.asarray(await pool.in_force_ns(self._registry.generation)) - self._begun_ns
-        registry_cpu_ns, workers = process_time_ns() - self._cpu_ns, await pool.take_figures()
+        registry_cpu_ns, workers = process_time_ns() - self._cpu_ns, await pool.read_and_reset_figures()
         calls, failures, update_bytes = self._counts_before
         return {
             f"{name}_p50_ms": float(np.percentile(delays_ns, 50)) / MS,
--- a/scale/headless_pool.py
+++ b/scale/headless_pool.py
@@ -63,7 +63,7 @@
         responses = await self._send_command("await", generation=generation)
         return [at_ns for response in responses for at_ns in response["in_force_ns"]]
 
-    async def take_figures(self) -> dict[str, float]:
+    async def read_and_reset_figures(self) -> dict[str, float]:
         """Return the figures since the last call, summed over processes; `hold_ms` is the longest stall."""
         responses = await self._send_command("spent")
         return {
