--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -190,7 +190,7 @@
     """
     requests = [sample for sample in samples if not sample.is_health_check]
     served = [sample for sample in requests if sample.status == 200]
-    added = histogram(sample.added_ns for sample in served)
+    added = histogram(sample.added_latency_ns for sample in served)
     checks = [sample for sample in samples if sample.is_health_check]
     return {
         "requests": len(requests),
@@ -198,8 +198,8 @@
         "unanswered": sum(not sample.status for sample in requests),
         "p50_ms": added.get_value_at_percentile(50) / 1e3,
         "p99_ms": added.get_value_at_percentile(99) / 1e3,
-        "worst_ms": max((sample.added_ns for sample in served), default=0) / MS,
-        "hold_ms": max((sample.added_ns for sample in checks), default=0) / MS,
+        "worst_ms": max((sample.added_latency_ns for sample in served), default=0) / MS,
+        "hold_ms": max((sample.added_latency_ns for sample in checks), default=0) / MS,
     }
 
 
--- a/scale/load.py
+++ b/scale/load.py
@@ -44,7 +44,7 @@
     """Time spent in the endpoint, from `Server-Timing`; -1 if none was reported."""
 
     @property
-    def added_ns(self) -> int:
+    def added_latency_ns(self) -> int:
         """Time from the due time to the response, less the time in the endpoint.
 
         It counts from the due time so that a delay in the generator or behind earlier requests is included
--- a/tests/scale/test_latency.py
+++ b/tests/scale/test_latency.py
@@ -13,7 +13,7 @@
     sample = Sample("r", False, 1_000_000, 4_000_000, 31_000_000, 200, 20_000_000)
     health_check = sample._replace(is_health_check=True, endpoint_ns=-1)
     unanswered = sample._replace(status=0, endpoint_ns=-1)
-    assert (sample.added_ns, health_check.added_ns) == (10_000_000, 30_000_000)
+    assert (sample.added_latency_ns, health_check.added_latency_ns) == (10_000_000, 30_000_000)
     figures = summarize([sample, health_check, unanswered])
     assert [figures[name] for name in ("requests", "served", "unanswered")] == [2, 1, 1]
     assert (figures["worst_ms"], figures["hold_ms"]) == (10, 30)
@@ -42,7 +42,7 @@
             len(requests) == len(arrival_times(86, 1.0, 5)) == len({sample.request_id for sample in requests})
         )
         assert {sample.status for sample in samples} == {200}
-        assert all(sample.endpoint_ns >= 0 and sample.added_ns > 0 for sample in requests)
+        assert all(sample.endpoint_ns >= 0 and sample.added_latency_ns > 0 for sample in requests)
         assert costs["list_changes"] >= len(plan)
         assert costs["registry_bytes"] > 100 * len(plan)
 
