--- a/scale/demo.py
+++ b/scale/demo.py
@@ -23,7 +23,7 @@
 from scale.gateway_process import deployed_command
 from scale.registry import Registry
 
-LIMIT_S = 14.0
+RESPONSE_TIMEOUT_S = 14.0
 """Maximum time until the response, seconds; including the shutdown the demo takes less than 20."""
 SHUTDOWN_TIMEOUT_S = 5.0
 """Maximum duration of the gateway's graceful shutdown, seconds; after that the process is killed."""
@@ -148,7 +148,7 @@
         try:
             with tempfile.TemporaryDirectory() as directory:
                 environment = write_config(Path(directory) / "config.json", registry, fleet)
-                async with running_gateway(environment) as process, asyncio.timeout(LIMIT_S):
+                async with running_gateway(environment) as process, asyncio.timeout(RESPONSE_TIMEOUT_S):
                     await show_request(process)
         finally:
             await registry.close()
@@ -161,7 +161,7 @@
     try:
         asyncio.run(run_demo())
     except TimeoutError:
-        print(f"demo: no response within {LIMIT_S:.0f} s", file=sys.stderr)
+        print(f"demo: no response within {RESPONSE_TIMEOUT_S:.0f} s", file=sys.stderr)
         return 1
     except (DemoError, OSError) as error:
         print(f"demo: {error}", file=sys.stderr)
--- a/tests/scale/test_demo.py
+++ b/tests/scale/test_demo.py
@@ -48,6 +48,6 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(demo, "deployed_command", lambda: ("sleep", "60"))
-    monkeypatch.setattr(demo, "LIMIT_S", 0.3)
+    monkeypatch.setattr(demo, "RESPONSE_TIMEOUT_S", 0.3)
     assert demo.main() == 1
     assert capsys.readouterr().err == "demo: no response within 0 s\n"
