--- a/scale/cold_start/__main__.py
+++ b/scale/cold_start/__main__.py
@@ -12,7 +12,7 @@
 import click
 
 from .fleet import run_scenario
-from .judge import OverloadResult
+from .overload_check import OverloadResult
 from .scenario import Scenario, scenarios
 
 LARGE_SIZE = 3000
--- a/scale/cold_start/fleet.py
+++ b/scale/cold_start/fleet.py
@@ -23,7 +23,7 @@
 
 from .endpoint import SimulatedEndpoint
 from .gateway import OnAttemptEnd, SimulatedGateway
-from .judge import OverloadResult, measure_overload
+from .overload_check import OverloadResult, measure_overload
 from .scenario import Scenario
 
 __all__ = ["SimulatedFleet", "run_scenario"]
