--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -67,8 +67,8 @@
     """Run the experiment; return 0 if all runs succeeded, else 1."""
     chosen = EXPERIMENTS[experiment]
     options = _parse_options(chosen, assignments)
-    if max(sizes, default=0) > chosen.largest:
-        raise click.BadParameter(f"the maximum size of {experiment} is {chosen.largest}")
+    if max(sizes, default=0) > chosen.max_size:
+        raise click.BadParameter(f"the maximum size of {experiment} is {chosen.max_size}")
     try:
         out.parent.mkdir(parents=True, exist_ok=True)
         out.open("a").close()
--- a/scale/experiments/__init__.py
+++ b/scale/experiments/__init__.py
@@ -21,7 +21,7 @@
     run: Callable[..., Coroutine[Any, Any, dict[str, float]]]
     sizes: tuple[int, ...]
     """Sizes used by default."""
-    largest: int
+    max_size: int
     """Largest size that one machine is expected to handle."""
 
 
