--- a/scale/experiments/gateways.py
+++ b/scale/experiments/gateways.py
@@ -60,7 +60,7 @@
             await pool.in_force_ns(registry.generation)
             figures = await _publish(pool, registry, "change", fleet.drain(1))
             figures |= await _publish(pool, registry, "zone", fleet.lose_zone(fleet.zones[-1]))
-            await pool.end()
+            await pool.kill()
             await wait_until(lambda: not registry.watch_count, WATCH_TIMEOUT_S)
             registry.publish(fleet.replace(1))
             await pool.launch(configuration, size, PROCESSES)
@@ -76,7 +76,7 @@
 ) -> dict[str, float]:
     """Publish a change and return its figures; `name` is the prefix of their names."""
     measurement = _UpdateMeasurement(registry)
-    await pool.take_figures()
+    await pool.read_and_reset_figures()
     registry.publish(changed)
     return await measurement.end(name, pool)
 
@@ -94,7 +94,7 @@
         """Wait until the generation is in force at every gateway; return figures with the prefix `name`."""
         counts = self._registry.counts
         delays_ns = np.asarray(await pool.in_force_ns(self._registry.generation)) - self._begun_ns
-        registry_cpu_ns, workers = process_time_ns() - self._cpu_ns, await pool.take_figures()
+        registry_cpu_ns, workers = process_time_ns() - self._cpu_ns, await pool.read_and_reset_figures()
         calls, failures, update_bytes = self._counts_before
         return {
             f"{name}_p50_ms": float(np.percentile(delays_ns, 50)) / MS,
--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -130,11 +130,11 @@
                     await wait_until(lambda: registry.watch_count > 0, WATCH_TIMEOUT_S)
                     arguments = _load_arguments(gateway.address, configuration, rate, seconds, seed)
                     async with module_process("scale.load", *arguments) as load:
-                        result = await _measure(gateway.statistics, load, plan, fleet, registry)
+                        result = await _measure(gateway.psutil_process, load, plan, fleet, registry)
                     if gateway.returncode is not None:
                         raise RuntimeError(f"the gateway has ended with exit code {gateway.returncode}")
                 finally:
-                    await gateway.end()
+                    await gateway.kill()
                 return result
         finally:
             await registry.close()
@@ -190,7 +190,7 @@
     """
     requests = [sample for sample in samples if not sample.is_health_check]
     served = [sample for sample in requests if sample.status == 200]
-    added = histogram(sample.added_ns for sample in served)
+    added = histogram(sample.added_latency_ns for sample in served)
     checks = [sample for sample in samples if sample.is_health_check]
     return {
         "requests": len(requests),
@@ -198,8 +198,8 @@
         "unanswered": sum(not sample.status for sample in requests),
         "p50_ms": added.get_value_at_percentile(50) / 1e3,
         "p99_ms": added.get_value_at_percentile(99) / 1e3,
-        "worst_ms": max((sample.added_ns for sample in served), default=0) / MS,
-        "hold_ms": max((sample.added_ns for sample in checks), default=0) / MS,
+        "worst_ms": max((sample.added_latency_ns for sample in served), default=0) / MS,
+        "hold_ms": max((sample.added_latency_ns for sample in checks), default=0) / MS,
     }
 
 
--- a/scale/gateway_process.py
+++ b/scale/gateway_process.py
@@ -65,7 +65,7 @@
         return self._process.returncode
 
     @property
-    def statistics(self) -> psutil.Process:
+    def psutil_process(self) -> psutil.Process:
         """Process handle of psutil, for CPU time and memory."""
         assert self._process is not None
         return psutil.Process(self._process.pid)
@@ -75,7 +75,7 @@
         assert self._process is not None
         self._process.send_signal(number)
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process if it is running, and wait until its log is read."""
         if self._process is None:
             return
--- a/scale/records.py
+++ b/scale/records.py
@@ -15,7 +15,7 @@
 
 from . import ROOT
 
-__all__ = ["Figure", "Fit", "RunRecord", "append", "fit", "format_fits", "format_table"]
+__all__ = ["Figure", "Fit", "RunRecord", "append_record", "fit", "format_fits", "format_table"]
 
 EXTRAPOLATION_FACTOR = 10
 """Multiple of the largest size run at which fits are evaluated; the result is marked as extrapolated."""
@@ -51,14 +51,14 @@
 
 
 class Fit(NamedTuple):
-    """A linear fit of a figure over sizes; `slope_spread` is the standard error of the slope."""
+    """A linear fit of a figure over sizes; `slope_standard_error` is the standard error of the slope."""
 
     slope: float
-    slope_spread: float
+    slope_standard_error: float
     intercept: float
     largest_size: float
 
-    def at(self, size: float) -> Figure:
+    def predict(self, size: float) -> Figure:
         """Return the predicted value at a size."""
         return Figure(self.intercept + self.slope * size, size > self.largest_size)
 
@@ -76,7 +76,7 @@
     return Fit(slope, standard_error, intercept, float(x.max()))
 
 
-def append(
+def append_record(
     path: Path,
     experiment: str,
     size: int,
@@ -141,12 +141,12 @@
         if len(pairs) < MIN_POINTS or len(set(sizes)) < 2:
             continue
         fitted = fit(sizes, values)
-        extrapolated = fitted.at(EXTRAPOLATION_FACTOR * fitted.largest_size)
+        extrapolated = fitted.predict(EXTRAPOLATION_FACTOR * fitted.largest_size)
         rows.append(
             [
                 name,
                 f"{fitted.slope:.4g}",
-                f"{fitted.slope_spread:.2g}",
+                f"{fitted.slope_standard_error:.2g}",
                 f"{fitted.intercept:.4g}",
                 f"{extrapolated.value:.4g}{' (extrapolated)' if extrapolated.extrapolated else ''}",
             ]
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, SECOND, Outcome, UpdateKind
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.settings_builders import make_entries, make_settings
 
 
@@ -13,7 +13,7 @@
     gateway = GatewayModel(make_settings(), entries)
     for _ in range(60):
         request_id = gateway.receive_request()
-        while gateway.in_flight(request_id):
+        while gateway.attempts_in_flight(request_id):
             gateway.end_attempt(request_id, Outcome.OVERLOADED, elapsed_ns=MS)
         gateway.run_for(50 * MS)
     gateway.run_for(20 * MS)
@@ -38,14 +38,14 @@
 def test_the_last_endpoint_that_is_not_ejected_does_not_get_the_capacity_of_all() -> None:
     """With two of three endpoints ejected, the third got the full limit, was congested and ejected too."""
     gateway = GatewayModel(make_settings(), make_entries(3))
-    serve_one_by_one(gateway, 30, 10 * MS)
+    serve_sequentially(gateway, 30, 10 * MS)
     endpoints = gateway.balancer.endpoints
     endpoints.local_pool.limit = 12.0
     for endpoint_id in ("h0", "h1"):
         for _ in range(3):
             gateway.run_for(100 * MS)
             endpoints.by_id[endpoint_id].observe(
-                SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now
+                SECOND, 300 * MS, gateway.now_ns, failed_attempt_sent_at=gateway.now_ns
             )
     before = gateway.attempts_by_endpoint()["h2"]
     for _ in range(12):
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer import MS, Outcome, UpdateKind
-from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_all_in_flight, serve_sequentially
 from tests.support.settings_builders import make_entry, make_settings
 
 
@@ -13,16 +13,16 @@
     Requests that have waited for capacity have less time left than T1.
     """
     gateway = GatewayModel(make_settings(), [make_entry("good"), make_entry("silent")])
-    serve_one_by_one(gateway, 30, 20 * MS)
+    serve_sequentially(gateway, 30, 20 * MS)
     gateway.attempts.clear()
     for _ in range(40):
         request_id = gateway.receive_request(timeout_ns=150 * MS)
-        if gateway.in_flight(request_id).get(0) == "good":
+        if gateway.attempts_in_flight(request_id).get(0) == "good":
             gateway.run_for(20 * MS)
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=20 * MS)
         else:
             gateway.run_for(200 * MS)
-            while gateway.in_flight(request_id):
+            while gateway.attempts_in_flight(request_id):
                 gateway.end_attempt(request_id, Outcome.CANCELLED, elapsed_ns=150 * MS)
     assert gateway.attempts_by_endpoint()["silent"] < 12
 
@@ -30,9 +30,9 @@
 def test_an_endpoint_in_slow_start_is_slow_without_a_queue() -> None:
     """Twice the baseline latency counted as queueing, so the zone's limit fell and requests spilled over."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
-    serve_one_by_one(gateway, 60, 50 * MS)
+    serve_sequentially(gateway, 60, 50 * MS)
     # Its speed is at least a third of the full speed.
-    gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now)])
+    gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now_ns)])
     serve_all_in_flight(gateway, 20, 100 * MS)
     assert gateway.attempts_by_endpoint()["starting"] > 5
     assert gateway.balancer.endpoints.local_pool.smoothed_delay < 10 * MS
@@ -55,11 +55,11 @@
     """One in eight is in flight for over twice the mean latency; if cancelled, it counted as a timeout."""
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     for _ in range(50):
-        serve_one_by_one(gateway, 1, 25 * MS)
-        serve_one_by_one(gateway, 1, 75 * MS)
+        serve_sequentially(gateway, 1, 25 * MS)
+        serve_sequentially(gateway, 1, 75 * MS)
     for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
         request_id = gateway.receive_request()
         gateway.run_for(elapsed_ns)
-        gateway.client_leaves(request_id)
+        gateway.close_client(request_id)
         gateway.end_attempt(request_id, Outcome.CANCELLED, elapsed_ns=elapsed_ns)
         assert (gateway.balancer.endpoints.by_id["h"].failure_share > 0) == counts_as_failure
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -6,7 +6,7 @@
 
 from balancer import MS, SECOND, Idempotency, Outcome
 from balancer.outlier import MIN_BROKEN_STREAK, is_ejected
-from tests.support.gateway_model import GatewayModel, serve_one_by_one
+from tests.support.gateway_model import GatewayModel, serve_sequentially
 from tests.support.rule_checker import FinalResponse
 from tests.support.settings_builders import make_class, make_entries, make_entry, make_settings
 
@@ -20,7 +20,7 @@
     for _ in range(60):
         request_id = gateway.receive_request()
         gateway.run_for(5 * MS)
-        while in_flight := gateway.in_flight(request_id):
+        while in_flight := gateway.attempts_in_flight(request_id):
             outcome = Outcome.OVERLOADED if in_flight[min(in_flight)] == "full" else Outcome.OK
             gateway.end_attempt(request_id, outcome, elapsed_ns=5 * MS)
     assert gateway.attempts_by_endpoint()["full"] < 10
@@ -33,7 +33,7 @@
     )
     for _ in range(40):
         request_id = gateway.receive_request()
-        in_flight = gateway.in_flight(request_id)
+        in_flight = gateway.attempts_in_flight(request_id)
         gateway.run_for(20 * MS)
         if in_flight and in_flight[0] == "good":
             gateway.end_attempt(request_id, Outcome.OK, elapsed_ns=20 * MS)
@@ -66,7 +66,7 @@
             while record.attempts_in_flight:
                 gateway.end_attempt(request_id, Outcome.OVERLOADED, elapsed_ns=MS)
         gateway.run_for(100 * MS)
-    late = sum(attempt.sent_at > 10 * SECOND for attempt in gateway.attempts)
+    late = sum(attempt.sent_at_ns > 10 * SECOND for attempt in gateway.attempts)
     assert 1 <= late <= 30  # a few are still sent
     assert not gateway.violations
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.INVALID_RESPONSE, Outcome.RESET])
 def test_broken_responses_count_as_failures_only_in_a_row(outcome: Outcome) -> None:
     gateway = GatewayModel(make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("h")])
-    serve_one_by_one(gateway, 20, 20 * MS, 200 * MS)
+    serve_sequentially(gateway, 20, 20 * MS, 200 * MS)
     endpoint = gateway.balancer.endpoints.by_id["h"]
     for number in range(MIN_BROKEN_STREAK):
         request_id = gateway.receive_request()
@@ -88,18 +88,20 @@
 def test_an_endpoint_no_longer_ejected_gets_one_attempt_until_one_is_served() -> None:
     """The endpoint got as many attempts at once as its part of the limit, and all failed if it still hung."""
     gateway = GatewayModel(make_settings(), make_entries(2))
-    serve_one_by_one(gateway, 30, 10 * MS)
+    serve_sequentially(gateway, 30, 10 * MS)
     gateway.balancer.endpoints.local_pool.limit = 20.0
     failing = gateway.balancer.endpoints.by_id["h0"]
     for _ in range(3):
         gateway.run_for(100 * MS)
-        failing.observe(SECOND, 300 * MS, gateway.now, failed_attempt_sent_at=gateway.now)
-    while is_ejected(failing, 300 * MS, gateway.now):
+        failing.observe(SECOND, 300 * MS, gateway.now_ns, failed_attempt_sent_at=gateway.now_ns)
+    while is_ejected(failing, 300 * MS, gateway.now_ns):
         gateway.run_for(100 * MS)
     before = gateway.attempts_by_endpoint()["h0"]
     request_ids = [gateway.receive_request() for _ in range(9)]
     assert gateway.attempts_by_endpoint()["h0"] - before == 1
-    first = next(request_id for request_id in request_ids if "h0" in gateway.in_flight(request_id).values())
+    first = next(
+        request_id for request_id in request_ids if "h0" in gateway.attempts_in_flight(request_id).values()
+    )
     gateway.run_for(10 * MS)
     gateway.end_attempt(first, Outcome.OK, elapsed_ns=10 * MS)
     for _ in range(5):
--- a/tests/balancer/test_protocol_rules.py
+++ b/tests/balancer/test_protocol_rules.py
@@ -8,7 +8,7 @@
 from balancer import MS, SECOND, DeduplicationScope, EndpointState, Idempotency, Limits, Outcome
 from balancer.discovery_polling import DiscoveryPolling
 from tests.support.gateway_model import GatewayModel
-from tests.support.scenario import MAX_NUMBER, Scenario, Step, StepKind
+from tests.support.scenario import MAX_STEP_NUMBER, Scenario, Step, StepKind
 from tests.support.settings_builders import make_class, make_entry, make_settings
 
 # Requests, outcomes and time steps are frequent, so that requests with many events are common.
@@ -20,7 +20,7 @@
     StepKind.SNAPSHOT: 2,
 }
 KINDS = [kind for kind in StepKind for _ in range(FREQUENCIES.get(kind, 1))]
-NUMBERS = st.integers(0, MAX_NUMBER)
+NUMBERS = st.integers(0, MAX_STEP_NUMBER)
 STEPS = st.lists(st.builds(Step, st.sampled_from(KINDS), NUMBERS, NUMBERS), min_size=10, max_size=80)
 
 
@@ -86,12 +86,12 @@
     assert not rules.may_send(request, same_cell, 0)  # an attempt is in flight
     gateway.run_until(10 * MS)
     gateway.end_attempt(request_id, Outcome.RESET)
-    assert rules.may_send(request, same_cell, gateway.now)
-    assert not rules.may_send(request, other_cell, gateway.now)  # outside the deduplication scope
+    assert rules.may_send(request, same_cell, gateway.now_ns)
+    assert not rules.may_send(request, other_cell, gateway.now_ns)  # outside the deduplication scope
     assert not rules.may_send(request, same_cell, 400 * MS)  # the deduplication window is over
     same_cell.state = EndpointState.DRAINING
-    assert not rules.may_send(request, same_cell, gateway.now)
+    assert not rules.may_send(request, same_cell, gateway.now_ns)
     same_cell.state = EndpointState.READY
-    same_cell.started_at, same_cell.slow_start_until = gateway.now, gateway.now + SECOND
-    same_cell.credit_updated_at, same_cell.slow_start_credit = gateway.now, 0.0
-    assert not rules.may_send(request, same_cell, gateway.now)  # no slow-start credit yet
+    same_cell.started_at, same_cell.slow_start_until = gateway.now_ns, gateway.now_ns + SECOND
+    same_cell.credit_updated_at, same_cell.slow_start_credit = gateway.now_ns, 0.0
+    assert not rules.may_send(request, same_cell, gateway.now_ns)  # no slow-start credit yet
--- a/tests/gateway/test_client_close.py
+++ b/tests/gateway/test_client_close.py
@@ -16,8 +16,8 @@
 from gateway.timers import now_ns
 from tests.support.event_control import BlockingClient, CapturedTimers, DelayedConnects, UnreportedConnects
 from tests.support.loopback import (
-    LAST,
-    OK,
+    CLOSING_RESPONSE,
+    OK_RESPONSE,
     SETTINGS,
     Client,
     FakeEndpoint,
@@ -25,7 +25,7 @@
     request,
     wait_until,
 )
-from tests.support.stub_balancers import Sends, Stub
+from tests.support.stub_balancers import SingleAttemptBalancer, StubBalancer
 
 OVERLOADED = b"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 SHORT_OBJECTIVES: dict[str, Any] = {
@@ -54,7 +54,7 @@
 
 async def check_only_other_request_is_sent(harness: GatewayHarness, endpoint: FakeEndpoint) -> None:
     """Send another request and check that it is the next one to reach the endpoint, and the only one."""
-    other = await harness.client()
+    other = await harness.connect()
     assert (await other.exchange(request(request_id="other")))[0] == 200
     assert (await endpoint.received.get()).headers["x-request-id"] == "other"
     assert endpoint.received.empty()
@@ -64,8 +64,8 @@
 async def test_a_request_that_waited_for_capacity_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        busy, closing_client = await harness.client(), await harness.client()
+        await harness.start(endpoint)
+        busy, closing_client = await harness.connect(), await harness.connect()
         busy.send(request(request_id="busy"))
         forwarded = await endpoint.received.get()
         closing_client.send(request(request_id="left"))  # an unused endpoint gets one attempt at a time
@@ -73,9 +73,9 @@
         assert endpoint.received.empty()
         close_client(closing_client)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
-        endpoint.reply = OK
-        forwarded.reply(LAST)
-        assert (await busy.response())[0] == 200
+        endpoint.reply = OK_RESPONSE
+        forwarded.reply(CLOSING_RESPONSE)
+        assert (await busy.read_response())[0] == 200
         await check_only_other_request_is_sent(harness, endpoint)
 
 
@@ -83,9 +83,9 @@
 async def test_a_request_that_waited_for_its_gap_is_not_sent(close_client: CloseClient) -> None:
     async with GatewayHarness() as harness:
         endpoints = FakeEndpoint("h0", reply=None), FakeEndpoint("h1", reply=None)
-        await harness.begin(*endpoints, **SHORT_OBJECTIVES)
+        await harness.start(*endpoints, **SHORT_OBJECTIVES)
         dispatcher, timers = harness.gateway.dispatcher, harness.gateway.timers
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
         await wait_until(lambda: any(not endpoint.received.empty() for endpoint in endpoints))
         first, other = endpoints if not endpoints[0].received.empty() else endpoints[::-1]
@@ -108,36 +108,36 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
+        await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         connects = DelayedConnects(monkeypatch, endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
-        await connects.was_called.wait()
+        await connects.connect_called.wait()
         close_client(client)
         if close_client is half_close:  # the client may still read, so it gets a response
-            assert (await client.response())[0] == 502
+            assert (await client.read_response())[0] == 502
         await wait_until(lambda: not harness.gateway.dispatcher.open_requests())
-        connects.may_begin.set()
+        connects.connect_allowed.set()
         await check_only_other_request_is_sent(harness, endpoint)
 
 
 async def test_a_half_closed_client_gets_the_response_to_an_attempt_that_was_sent() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        client = await harness.client()
+        await harness.start(endpoint)
+        client = await harness.connect()
         client.send(request())
         forwarded = await endpoint.received.get()
         client.writer.write_eof()
         await wait_until(lambda: harness.gateway.dispatcher.open_requests()[0].client_closing)
         forwarded.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
 
 
-class SendsOnTimer(Stub):
+class SendsOnTimer(StubBalancer):
     """Sends the first attempt when the request's timer expires, then one after each non-final outcome."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.actions.set_timer(request_id, 60_000 * MS)
 
     def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - interface
@@ -178,7 +178,7 @@
     """The balancer sends an attempt on a timer or another event, which may be handled before the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -198,7 +198,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -226,8 +226,8 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(
-            endpoint, make=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
+        await harness.start(
+            endpoint, make_balancer=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
         )
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
@@ -239,7 +239,7 @@
         close_client(client)
         simulate_stall(monkeypatch)
         for protocol, transport in connected:
-            connects.report(protocol, transport)
+            connects.report_connected(protocol, transport)
         assert not dispatcher.open_requests()
         assert all(transport.is_closing() for _, transport in connected)
         client.sock.close()
@@ -252,16 +252,16 @@
     """Without this check three of four requests were still forwarded 0.17 s after the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
+        await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
         dispatcher = harness.gateway.dispatcher
         connects = UnreportedConnects(monkeypatch, endpoint)
-        client = await harness.client()
+        client = await harness.connect()
         client.send(request(request_id="left"))
         connected = await connects.connected.get()
         close_client(client)
         await wait_until(lambda: all(item.client_closing for item in dispatcher.open_requests()))
         simulate_stall(monkeypatch)
-        connects.report(*connected)
+        connects.report_connected(*connected)
         assert not dispatcher.open_requests()
         assert connected[1].is_closing()
 
@@ -274,7 +274,7 @@
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, MAX_PIPELINED)
@@ -298,7 +298,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendsOnTimer)
         client, _ = await send_requests(harness, MAX_PIPELINED)
         client.sock.sendall(more)
         close_client(client)
@@ -312,7 +312,7 @@
 @each_unread_close
 async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
         client = BlockingClient(harness.gateway_address)
         client.sock.sendall(request(Connection="close"))
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
@@ -332,7 +332,7 @@
     """The client may have left long ago.  A reset is not tested, as it discards unread data."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=Sends)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = BlockingClient(harness.gateway_address)
         flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -8,19 +8,19 @@
 
 from balancer import MS
 from tests.support.loopback import FakeEndpoint, GatewayHarness, request, wait_until
-from tests.support.stub_balancers import Sends
+from tests.support.stub_balancers import SingleAttemptBalancer
 
 
 async def test_ready_only_once_an_endpoint_is_known() -> None:
     async with GatewayHarness() as harness:
         endpoint = await FakeEndpoint().start()
-        await harness.begin(rows=[])
-        client = await harness.client()
+        await harness.start(entries=[])
+        client = await harness.connect()
         readiness_check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         assert (await client.exchange(readiness_check))[0] == 503
         _, writer = await harness.discovery.calls.get()
-        harness.discovery.head(writer)
-        harness.discovery.line(writer, 42, [endpoint.row()])
+        harness.discovery.start_watch_response(writer)
+        harness.discovery.write_watch_event(writer, 42, [endpoint.make_entry()])
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert (await client.exchange(readiness_check))[0] == 200
 
@@ -28,8 +28,8 @@
 async def test_pipelined_requests_all_get_a_response_at_a_graceful_shutdown() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
-        client = await harness.client()
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
+        client = await harness.connect()
         client.send(request(request_id="r0") + request(request_id="r1"))
         forwarded = [await endpoint.received.get() for _ in range(2)]
         harness.gateway.stop()
@@ -37,7 +37,7 @@
         forwarded.sort(key=lambda item: item.headers["x-request-id"])
         for connection_header, item in zip((None, "close"), forwarded, strict=True):
             item.reply()
-            status, headers, _ = await client.response()
+            status, headers, _ = await client.read_response()
             assert (status, headers.get("connection")) == (200, connection_header)
         assert await client.reader.read() == b""
 
@@ -46,7 +46,7 @@
     """When one exception ended all sweeps, no idle or slow connection was closed any more."""
     monkeypatch.setattr("gateway.gateway.SWEEP_INTERVAL_NS", MS)
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
+        await harness.start(FakeEndpoint())
         sweeps = 0
 
         def fail(_now: int) -> None:
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -6,7 +6,14 @@
 from typing import Any
 
 from balancer import Actions, Balancer, EndpointId, IncomingRequest, Settings
-from tests.support.loopback import LAST, OK, FakeEndpoint, GatewayHarness, request, wait_until
+from tests.support.loopback import (
+    CLOSING_RESPONSE,
+    OK_RESPONSE,
+    FakeEndpoint,
+    GatewayHarness,
+    request,
+    wait_until,
+)
 
 REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -17,7 +24,7 @@
     request_count = 0
 
     def make_balancer(self, settings: Settings, seed: int, actions: Actions) -> Balancer:
-        """Create a balancer that counts requests; passed to `begin`."""
+        """Create a balancer that counts requests; passed to `start`."""
         harness = self
 
         class CountingBalancer(Balancer):
@@ -38,7 +45,7 @@
     async def send(self, *request_ids: str) -> None:
         """Send each request on its own connection, left open, and wait until the balancer has them all."""
         expected = self.request_count + len(request_ids)
-        clients = [await self.client() for _ in request_ids]
+        clients = [await self.connect() for _ in request_ids]
         for client, request_id in zip(clients, request_ids, strict=True):
             self.callback(client.writer.close)
             client.send(request(request_id=request_id))
@@ -57,13 +64,13 @@
     async def accept(harness: GatewayHarness) -> DiscoveryWatch:
         """Wait for the watch call and begin the response to it."""
         _, writer = await harness.discovery.calls.get()
-        harness.discovery.head(writer)
+        harness.discovery.start_watch_response(writer)
         return DiscoveryWatch(harness, writer)
 
     async def notify(self, *rows: dict[str, Any]) -> None:
         """Send a watch event and wait until the gateway has applied it."""
         self._generation += 1
-        self._harness.discovery.line(self._writer, self._generation, list(rows))
+        self._harness.discovery.write_watch_event(self._writer, self._generation, list(rows))
         await wait_until(lambda: self._harness.gateway.discovery.generation == self._generation)
 
 
@@ -71,9 +78,9 @@
     """Covers one endpoint of three that got the limit of all and was overloaded before its delay rose."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make=harness.make_balancer)
+        await harness.start(*endpoints, make_balancer=harness.make_balancer)
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(*(endpoint.row("terminating") for endpoint in endpoints[1:]))
+        await watch.notify(*(endpoint.make_entry("terminating") for endpoint in endpoints[1:]))
         await harness.send("r1", "r2", "r3", "r4")
         assert harness.in_flight() == 1
 
@@ -82,10 +89,10 @@
     """Covers a limit still scaled to fewer endpoints, which filled idle endpoints only over seconds."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make=harness.make_balancer, rows=[])
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(endpoints[0].row())
-        await watch.notify(*(endpoint.row() for endpoint in endpoints[1:]))
+        await watch.notify(endpoints[0].make_entry())
+        await watch.notify(*(endpoint.make_entry() for endpoint in endpoints[1:]))
         await harness.send("r1", "r2", "r3", "r4")
         assert harness.in_flight() == 4
 
@@ -94,25 +101,25 @@
     """Covers attempts at a draining or silent endpoint that left its successor idle until they ended."""
     old, new = FakeEndpoint("old", reply=None), FakeEndpoint("new", reply=None)
     async with CountingHarness() as harness:
-        await harness.begin(old, new, make=harness.make_balancer, rows=[])
+        await harness.start(old, new, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(old.row())
+        await watch.notify(old.make_entry())
         await harness.send("r1")
         received = await old.received.get()
-        await watch.notify(old.row("terminating"), new.row())
+        await watch.notify(old.make_entry("terminating"), new.make_entry())
         await harness.send("r2")
         assert harness.endpoints_in_flight() == ["old", "new"]
-        assert received.first.startswith("GET")  # the reference retains the connection until here
+        assert received.first_line.startswith("GET")  # the reference retains the connection until here
 
 
 async def test_the_limit_grows_fast_while_requests_wait_and_endpoints_are_idle() -> None:
     """Covers a starting gateway that queued 100 requests and rejected as many while endpoints were idle."""
     endpoint = FakeEndpoint(reply=None)
     async with CountingHarness() as harness:
-        await harness.begin(endpoint, make=harness.make_balancer)
+        await harness.start(endpoint, make_balancer=harness.make_balancer)
         await harness.send(*(f"r{number}" for number in range(40)))
         for _ in range(20):
-            (await endpoint.received.get()).reply(LAST)
+            (await endpoint.received.get()).reply(CLOSING_RESPONSE)
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 20)
         assert harness.in_flight() >= 4  # starts at 1; a fixed step per response would give 2
 
@@ -125,9 +132,11 @@
             "over-share-worth": 0.1,
             "realms": [{"name": "acme", "portion": 1.0, "allowance-per-s": 0.01}],
         }
-        await harness.begin(*endpoints, make=harness.make_balancer, rows=[], **quotas)
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[], **quotas)
         watch = await DiscoveryWatch.accept(harness)
-        await watch.notify(endpoints[0].row(), *(endpoint.row(zone="b") for endpoint in endpoints[1:]))
+        await watch.notify(
+            endpoints[0].make_entry(), *(endpoint.make_entry(zone="b") for endpoint in endpoints[1:])
+        )
         await harness.send("r1", "r2", "r3", "r4")  # the burst allowed by the quota; it fills the local zone
         assert harness.endpoints_in_flight() == ["h0"] * 4
         await harness.send("r5")
@@ -137,7 +146,7 @@
 async def test_few_gateways_poll_soon_after_a_start_with_cached_endpoints() -> None:
     """Covers a gateway that used only 6 cached endpoints of 10 for 1.8 s after its start, to limit polls."""
     async with CountingHarness() as harness:
-        await harness.begin(FakeEndpoint(), rules={"ask-within-ns": 60_000_000_000})
+        await harness.start(FakeEndpoint(), rules={"ask-within-ns": 60_000_000_000})
         # The delay is random within 0.5 s; within 15 s it would be 4.9 s.
         await asyncio.wait_for(harness.discovery.calls.get(), 3.0)
 
@@ -146,14 +155,16 @@
     """Covers an overloaded endpoint that lowered the limit of the pool until idle ones got nothing."""
     endpoints = [FakeEndpoint(f"h{number}") for number in range(4)]
     async with CountingHarness() as harness:
-        await harness.begin(*endpoints, make=harness.make_balancer, rows=[])
+        await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
         watch = await DiscoveryWatch.accept(harness)
         overloaded, *others = endpoints
-        await watch.notify(overloaded.row(weight=1000.0), *(endpoint.row() for endpoint in others))
+        await watch.notify(
+            overloaded.make_entry(weight=1000.0), *(endpoint.make_entry() for endpoint in others)
+        )
         rejections = 0
         while rejections < 8:  # one in five of the overloaded endpoint's responses
             is_rejection = overloaded.received.qsize() % 5 == 4
-            overloaded.reply = REJECTION if is_rejection else OK
+            overloaded.reply = REJECTION if is_rejection else OK_RESPONSE
             before = overloaded.received.qsize()
             await harness.send(f"r{harness.request_count}")
             await wait_until(lambda: harness.in_flight() == 0)
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -17,7 +17,7 @@
 from gateway.reload import ReloadState
 from gateway.tenant_table import ROWS_PER_STEP, TenantChanges, TenantDifference
 from tests.support.loopback import (
-    LAST,
+    CLOSING_RESPONSE,
     SETTINGS,
     FakeDiscovery,
     FakeEndpoint,
@@ -25,7 +25,7 @@
     request,
     wait_until,
 )
-from tests.support.processes import connect, launch, write_config
+from tests.support.processes import connect, start_gateway, write_config
 
 ACME = {"name": "acme", "portion": 1.0}
 
@@ -77,7 +77,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, **more)
+        await harness.start(endpoint, **more)
         yield ConfigurationFile(harness, path), endpoint
 
 
@@ -121,7 +121,7 @@
     realms = [ACME, {"name": "old", "allowance-per-s": 5.0}]
     async with running_gateway(tmp_path, monkeypatch, realms=realms) as (file, endpoint):
         dispatcher = file.harness.gateway.dispatcher
-        sent, waiting, client = [await file.harness.client() for _ in range(3)]
+        sent, waiting, client = [await file.harness.connect() for _ in range(3)]
         sent.send(request(request_id="sent", X_Tenant_Id="old"))
         received = await endpoint.received.get()
         waiting.send(request(request_id="waiting", X_Tenant_Id="old"))  # the one endpoint is busy
@@ -130,14 +130,14 @@
         file.write(realms=[{"name": "acme", "allowance-per-s": 7.0}, {"name": "new"}], **changed)
         await file.wait_for(ReloadState.IDLE)
         assert (await client.exchange(request(request_id="gone", X_Tenant_Id="old")))[0] == 400
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request(request_id="new", X_Tenant_Id="new"))
         await wait_until(lambda: len(dispatcher.open_requests()) == 3)
-        received.reply(LAST)
+        received.reply(CLOSING_RESPONSE)
         for _ in range(2):
-            (await endpoint.received.get()).reply(LAST)
+            (await endpoint.received.get()).reply(CLOSING_RESPONSE)
         for connection in (sent, waiting, client):
-            assert (await connection.response())[::2] == (200, b"done")
+            assert (await connection.read_response())[::2] == (200, b"done")
         balancer: Any = dispatcher.balancer
         assert [tenant and tenant.quota_per_s for tenant in balancer.tenants.quotas] == [7.0, None]
         assert balancer.settings.over_quota_weight == 0.5
@@ -149,7 +149,7 @@
 ) -> None:
     """A shorter latency objective applies to later requests only, even if the classes change their order."""
     async with running_gateway(tmp_path, monkeypatch) as (file, endpoint):
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request(request_id="open"))
         received = await endpoint.received.get()
         changed: dict[str, Any] = {
@@ -164,9 +164,9 @@
         assert opened.objective_ns == 6_000_000_000
         assert opened.traffic_class not in balancer.classes
         received.reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         client.send(request("once", request_id="next"))
-        assert (await endpoint.received.get()).first.startswith("POST /once")
+        assert (await endpoint.received.get()).first_line.startswith("POST /once")
         [opened] = balancer.lifecycle.requests.values()
         assert opened.objective_ns == 5_000_000_000
         assert opened.traffic_class.idempotency.value == "non-idempotent"
@@ -208,10 +208,10 @@
         assert bool(moved) is moves_discovery
         assert file.tenant_names() == [b"acme"]
         assert file.reload.configuration.version == 7
-        client = await file.harness.client()
+        client = await file.harness.connect()
         client.send(request())
         (await endpoint.received.get()).reply()
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
     [line] = [record.getMessage() for record in caplog.records if "EDGE_CONFIG" in record.getMessage()]
     assert message in line
     assert "stay" in line
@@ -245,12 +245,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_gateway(tmp_path, monkeypatch) as (file, endpoint):
-        client = await file.harness.client()
+        client = await file.harness.connect()
         file.write(realms=[ACME, *({"name": f"t{number}"} for number in range(20_000))])
         await file.wait_for(ReloadState.COMPARING)
         client.send(request())
         (await endpoint.received.get()).reply()
-        assert (await client.response())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert file.state() is ReloadState.COMPARING
         await file.wait_for(ReloadState.IDLE)
         assert len(file.tenant_names()) == 20_001
@@ -259,7 +259,7 @@
 async def test_the_process_applies_a_change_on_sighup(tmp_path: Path) -> None:
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     config = write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     busy, client = await connect(address), await connect(address)
     busy.send(request(request_id="open"))
     received = await endpoint.received.get()
@@ -274,11 +274,11 @@
     client = await connect(address)
     assert (await client.exchange(request(request_id="late")))[0] == 400  # removed, with one request open
     received.reply()
-    assert (await busy.response())[::2] == (200, b"done")
+    assert (await busy.read_response())[::2] == (200, b"done")
     client = await connect(address)
     client.send(request(request_id="r2", X_Tenant_Id="new"))
     (await endpoint.received.get()).reply()
-    assert (await client.response())[0] == 200
+    assert (await client.read_response())[0] == 200
     process.send_signal(signal.SIGHUP)
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -18,14 +18,14 @@
 from gateway.upstream.connection import EndpointConnection
 from tests.support.loopback import SETTINGS, FakeEndpoint, GatewayHarness, request, wait_until
 from tests.support.stub_balancers import (
-    Fails,
-    Raises,
-    RaisesLater,
-    Rejects,
-    Sends,
-    SendsAfterItsResponse,
-    SendsTwice,
-    Stub,
+    DuplicateAttemptBalancer,
+    FailingBalancer,
+    RaisingBalancer,
+    RaisingOnAttemptEndBalancer,
+    RejectingBalancer,
+    SendAfterResponseBalancer,
+    SingleAttemptBalancer,
+    StubBalancer,
 )
 
 STALL_ALLOWANCE_NS = 900 * MS
@@ -35,20 +35,20 @@
 async def test_a_half_closed_client_gets_its_response() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        client = await harness.client()
+        await harness.start(endpoint)
+        client = await harness.connect()
         client.send(request("once"))
         client.writer.write_eof()
         (await endpoint.received.get()).reply()
-        assert (await client.response())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         assert await client.reader.read() == b""
 
 
 async def test_no_attempt_starts_for_a_half_closed_client() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        client = await harness.client()
+        await harness.start(endpoint)
+        client = await harness.connect()
         client.send(request())
         received = await endpoint.received.get()
         client.writer.write_eof()
@@ -56,40 +56,40 @@
             lambda: all(item.client_closing for item in harness.gateway.dispatcher.open_requests())
         )
         received.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
-        assert (await client.response())[0] == 502
+        assert (await client.read_response())[0] == 502
         assert endpoint.received.empty()
 
 
 async def test_the_attempts_of_a_disconnected_client_are_cancelled() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        client = await harness.client()
+        await harness.start(endpoint)
+        client = await harness.connect()
         client.send(request())
         received = await endpoint.received.get()
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
-        await received.closed()
+        await received.wait_closed()
         assert not harness.gateway.dispatcher.open_requests()
 
 
 @pytest.mark.parametrize(
     ("balancer", "status", "retry_after"),
     [
-        (Rejects, 503, "1.250"),
-        (Fails, 502, None),
-        (Raises, 502, None),
-        (RaisesLater, 200, None),
-        (Stub, 502, None),  # never responds, so the gateway does before the client's deadline
+        (RejectingBalancer, 503, "1.250"),
+        (FailingBalancer, 502, None),
+        (RaisingBalancer, 502, None),
+        (RaisingOnAttemptEndBalancer, 200, None),
+        (StubBalancer, 502, None),  # never responds, so the gateway does before the client's deadline
     ],
 )
 async def test_exactly_one_response_whatever_the_balancer_does(
-    balancer: type[Stub], status: int, retry_after: str | None
+    balancer: type[StubBalancer], status: int, retry_after: str | None
 ) -> None:
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=balancer)
-        client, started_ns = await harness.client(), now_ns()
+        await harness.start(FakeEndpoint(), make_balancer=balancer)
+        client, started_ns = await harness.connect(), now_ns()
         got_status, headers, _ = await client.exchange(request(X_Timeout_Ms="1000"))
         assert (got_status, headers.get("retry-after")) == (status, retry_after)
         assert now_ns() - started_ns < 1000 * MS + STALL_ALLOWANCE_NS
@@ -102,27 +102,27 @@
 async def test_the_other_attempt_is_cancelled_when_one_is_served() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=SendsTwice)
-        client = await harness.client()
+        await harness.start(endpoint, make_balancer=DuplicateAttemptBalancer)
+        client = await harness.connect()
         client.send(request())
         first, second = await endpoint.received.get(), await endpoint.received.get()
         second.reply()
-        assert (await client.response())[0] == 200
-        await first.closed()
+        assert (await client.read_response())[0] == 200
+        await first.wait_closed()
         assert not harness.gateway.dispatcher.open_requests()
 
 
 async def test_no_attempt_starts_after_the_response_and_no_event_is_nested() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        balancers: list[SendsAfterItsResponse] = []
+        balancers: list[SendAfterResponseBalancer] = []
 
-        def make(settings: Settings, seed: int, actions: Actions) -> Any:
-            balancers.append(SendsAfterItsResponse(settings, seed, actions))
+        def make_balancer(settings: Settings, seed: int, actions: Actions) -> Any:
+            balancers.append(SendAfterResponseBalancer(settings, seed, actions))
             return balancers[0]
 
-        await harness.begin(endpoint, make=make)
-        client = await harness.client()
+        await harness.start(endpoint, make_balancer=make_balancer)
+        client = await harness.connect()
         assert (await client.exchange(request()))[0] == 502
         assert (await client.exchange(request(request_id="r2")))[0] == 502
         assert endpoint.received.empty()
@@ -130,10 +130,10 @@
         assert balancers[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "NOT_SENT")]
 
 
-class ChecksHealth(Stub):
+class ChecksHealth(StubBalancer):
     """Sends a health check for each request and its result to itself by gossip, which starts the attempt."""
 
-    def act(self, request_id: int) -> None:
+    def handle_request(self, request_id: int) -> None:
         self.request_id = request_id
         self.actions.check_health("h0")
 
@@ -160,17 +160,17 @@
             "load-report": {"source": "on_probe", "columns": ["outstanding"]},
         }
         overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
-        await harness.begin(endpoint, make=ChecksHealth, configuration=overrides)
-        assert (await (await harness.client()).exchange(request()))[0] == 200
-        assert (await endpoint.received.get()).first == "GET /stats HTTP/1.1"
-        assert (await endpoint.received.get()).first == "GET /read/x?q=1 HTTP/1.1"
+        await harness.start(endpoint, make_balancer=ChecksHealth, configuration=overrides)
+        assert (await (await harness.connect()).exchange(request()))[0] == 200
+        assert (await endpoint.received.get()).first_line == "GET /stats HTTP/1.1"
+        assert (await endpoint.received.get()).first_line == "GET /read/x?q=1 HTTP/1.1"
 
 
 async def test_no_health_check_where_the_settings_allow_none() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint, make=ChecksHealth)
-        assert (await (await harness.client()).exchange(request(X_Timeout_Ms="200")))[0] == 502
+        await harness.start(endpoint, make_balancer=ChecksHealth)
+        assert (await (await harness.connect()).exchange(request(X_Timeout_Ms="200")))[0] == 502
         assert endpoint.connections == 0
 
 
@@ -184,13 +184,13 @@
 async def test_closed_connections_are_freed_without_the_garbage_collector() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.begin(endpoint)
+        await harness.start(endpoint)
         gc.collect()
         before = count_live_objects()  # left by earlier tests
         gc.disable()
         try:
             for number in range(30):
-                client = await harness.client()
+                client = await harness.connect()
                 assert (await client.exchange(request(request_id=f"r{number}")))[0] == 200
                 client.writer.close()
             harness.gateway.upstream.close()
@@ -205,7 +205,7 @@
     assert LoadReportParser(["outstanding"], ["inflight"]).parse(b'{"outstanding": %b}' % text.encode()) == ()
 
 
-class RecordsOutcomes(Sends):
+class RecordsOutcomes(SingleAttemptBalancer):
     """Sends one attempt per request, and queues the outcomes of attempts."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -221,13 +221,13 @@
 ) -> None:
     balancers: list[RecordsOutcomes] = []
 
-    def make(settings: Settings, seed: int, actions: Actions) -> Any:
+    def make_balancer(settings: Settings, seed: int, actions: Actions) -> Any:
         balancers.append(RecordsOutcomes(settings, seed, actions))
         return balancers[0]
 
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint(), make=make)
-        client = await harness.client()
+        await harness.start(FakeEndpoint(), make_balancer=make_balancer)
+        client = await harness.connect()
         with monkeypatch.context() as patch:
             patch.setattr(Exchange, "send_response", None)
             client.send(request())
@@ -237,14 +237,14 @@
 async def test_open_requests_are_bounded_by_their_bytes() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         dispatcher = harness.gateway.dispatcher
         dispatcher.requests.max_bytes = 100_000
-        first, second = await harness.client(), await harness.client()
+        first, second = await harness.connect(), await harness.connect()
         first.send(request("once", body=b"x" * 60_000))
         received = await endpoint.received.get()
         assert (await second.exchange(request("once", request_id="r2", body=b"x" * 60_000)))[0] == 503
         received.reply()
-        assert (await first.response())[0] == 200
+        assert (await first.read_response())[0] == 200
         await wait_until(lambda: not dispatcher.open_requests())
         assert dispatcher.requests.open_bytes == 0
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -23,8 +23,8 @@
     request,
     wait_until,
 )
-from tests.support.processes import connect, launch, write_config
-from tests.support.stub_balancers import Sends
+from tests.support.processes import connect, start_gateway, write_config
+from tests.support.stub_balancers import SingleAttemptBalancer
 
 ROUNDS = 12
 MAX_SLOWDOWN = 10
@@ -43,7 +43,7 @@
     """incident-1: an invalid request delayed the requests that followed it on a shared connection."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     separate, shared = await connect(address), await connect(address)
     separate_times_s, shared_times_s = [], []
     for number in range(ROUNDS):
@@ -60,13 +60,13 @@
     """incident-2: none of 85 such responses reached a client.  A reset does not end a response regularly."""
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
-    process, address = await launch(tmp_path / "c")
+    process, address = await start_gateway(tmp_path / "c")
     client = await connect(address)
     client.send(request("once"))  # not retried, so this response decides the result
     received = await endpoint.received.get()
     received.reply(RESPONSE_WITHOUT_LENGTH)
     end_connection(received, with_reset)
-    status, _, body = await client.response()
+    status, _, body = await client.read_response()
     process.kill()
     await process.wait()
     assert (status, body) == ((502, b"failed\n") if with_reset else (200, b"done"))
@@ -88,8 +88,8 @@
     """incident-1: the timeout ran from the read, so endpoints got requests after their client had closed."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint, make=Sends)
-        client = await harness.client()
+        await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
+        client = await harness.connect()
         for number in range(MAX_PIPELINED):
             client.send(request(request_id=f"r{number}"))
         received_requests = [await endpoint.received.get() for _ in range(MAX_PIPELINED)]
@@ -100,6 +100,6 @@
             monkeypatch.setattr(f"gateway.{module}.now_ns", lambda: now_ns() + 150 * MS)
         for received in received_requests:
             received.reply()
-        statuses = [(await client.response())[0] for _ in range(MAX_PIPELINED + 1)]
+        statuses = [(await client.read_response())[0] for _ in range(MAX_PIPELINED + 1)]
         assert statuses == [200] * MAX_PIPELINED + [503]
         assert endpoint.received.empty()
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -60,7 +60,7 @@
 
 async def health_status(harness: GatewayHarness) -> int:
     """Status of a health check on a new connection."""
-    client = await harness.client()
+    client = await harness.connect()
     status = (await client.exchange(HEALTH_CHECK))[0]
     client.writer.close()
     return status
@@ -77,7 +77,7 @@
             sections = {"seed": f"{number:x}"}
             if response is None:
                 sections["discovery"] = "127.0.0.1:1"
-            await harness.begin(FakeEndpoint(), configuration=sections, discovery=mode, **SETTINGS)
+            await harness.start(FakeEndpoint(), configuration=sections, discovery=mode, **SETTINGS)
             assert await health_status(harness) == 200
             if response is not None and mode == "pushed":
                 _, writer = await harness.discovery.calls.get()
@@ -100,9 +100,9 @@
 
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
         delays_ns: list[int] = []
-        await harness.begin(
-            rows=[],
-            make=fast_balancer(delays_ns),
+        await harness.start(
+            entries=[],
+            make_balancer=fast_balancer(delays_ns),
             configuration={"seed": f"{number:x}"},
             discovery=mode,
             **SETTINGS,
@@ -113,8 +113,8 @@
             assert await health_status(harness) == 503
             writer.write(BUSY)
         _, writer = await harness.discovery.calls.get()
-        FakeDiscovery.head(writer)
-        FakeDiscovery.line(writer, 1, [endpoint.row()], reset=True)
+        FakeDiscovery.start_watch_response(writer)
+        FakeDiscovery.write_watch_event(writer, 1, [endpoint.make_entry()], reset=True)
         await wait_until(lambda: harness.gateway.dispatcher.has_endpoints)
         assert await health_status(harness) == 200
         return sum(delays_ns)
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -79,12 +79,12 @@
     """The request follows one on the same connection that the balancer ended before its deadline."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.begin(endpoint)
-        client = await harness.client()
+        await harness.start(endpoint)
+        client = await harness.connect()
         client.send(request(request_id="timed-out", X_Timeout_Ms="60"))
         received = await endpoint.received.get()
-        assert (await client.response())[0] in (502, 503)
-        await received.closed()
+        assert (await client.read_response())[0] in (502, 503)
+        await received.wait_closed()
         client.send(request(request_id="abandoned"))
         await endpoint.received.get()
         client.writer.close()
@@ -97,10 +97,10 @@
 ) -> None:
     monkeypatch.setenv("EDGE_TRACE", "all")
     async with GatewayHarness() as harness:
-        await harness.begin(FakeEndpoint())
-        client = await harness.client()
+        await harness.start(FakeEndpoint())
+        client = await harness.connect()
         assert (await client.exchange(request(request_id="good-one")))[0] == 200
-        assert (await client.exchange(request(request_id="bad-one", drop="X-Tenant-Id")))[0] == 400
+        assert (await client.exchange(request(request_id="bad-one", omit_header="X-Tenant-Id")))[0] == 400
         client.send(b"GET /half")
         client.writer.close()
         await wait_until(lambda: not harness.gateway.server.open_connections)
--- a/tests/scale/test_records.py
+++ b/tests/scale/test_records.py
@@ -7,16 +7,18 @@
 
 import pytest
 
-from scale.records import append, fit, format_fits, format_table
+from scale.records import append_record, fit, format_fits, format_table
 
 
 def test_fit_has_slope_and_standard_error_and_marks_extrapolated_figures() -> None:
     exact = fit([1, 2, 3, 3], [5, 7, 9, 9])
-    assert [exact.slope, exact.intercept, exact.slope_spread] == pytest.approx([2.0, 3.0, 0.0], abs=1e-9)
-    assert [exact.at(3).value, exact.at(30).value] == pytest.approx([9.0, 63.0])
-    assert [exact.at(3).extrapolated, exact.at(30).extrapolated] == [False, True]
+    assert [exact.slope, exact.intercept, exact.slope_standard_error] == pytest.approx(
+        [2.0, 3.0, 0.0], abs=1e-9
+    )
+    assert [exact.predict(3).value, exact.predict(30).value] == pytest.approx([9.0, 63.0])
+    assert [exact.predict(3).extrapolated, exact.predict(30).extrapolated] == [False, True]
     noisy = fit([0, 1, 2], [0, 1, 1])
-    assert [noisy.slope, noisy.slope_spread] == pytest.approx([0.5, 12**-0.5])
+    assert [noisy.slope, noisy.slope_standard_error] == pytest.approx([0.5, 12**-0.5])
     for sizes in ([1, 2], [2, 2, 2]):
         with pytest.raises(ValueError, match="three points at two sizes"):
             fit(sizes, [1.0] * len(sizes))
@@ -24,8 +26,8 @@
 
 def test_each_run_is_one_line_and_a_failed_run_has_no_figures(tmp_path: Path) -> None:
     out = tmp_path / "r"
-    records = [append(out, "x", size, 1, 0, ["x"], {"cost_ms": 2.0 * size}) for size in (1, 2, 4)]
-    records.append(append(out, "x", 8, 1, 0, ["x"], {}, "OSError: no"))
+    records = [append_record(out, "x", size, 1, 0, ["x"], {"cost_ms": 2.0 * size}) for size in (1, 2, 4)]
+    records.append(append_record(out, "x", 8, 1, 0, ["x"], {}, "OSError: no"))
     assert [json.loads(line) for line in out.read_text().splitlines()] == records
     assert set(records[0]) == {
         "experiment",
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -11,8 +11,8 @@
 from gateway.timers import Timers
 from tests.support.loopback import FakeDiscovery
 
-DRAIN_GRACE = 400 * MS
-ENTRY: dict[str, Any] = {
+DRAIN_GRACE_NS = 400 * MS
+ENDPOINT_ENTRY: dict[str, Any] = {
     "instanceId": "h0",
     "hostPort": "127.0.0.1:7070",
     "zone": "b",
@@ -26,7 +26,7 @@
 CACHED_GENERATION = 41
 
 
-def address_of(server: FakeDiscovery) -> tuple[str, int]:
+def split_address(server: FakeDiscovery) -> tuple[str, int]:
     """Return the host and the port on which a server listens."""
     host, _, port = server.address.rpartition(":")
     return host, int(port)
@@ -37,10 +37,10 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self.delays: list[int] = []
+        self.delays_ns: list[int] = []
 
     def call_after(self, delay_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        self.delays.append(delay_ns)
+        self.delays_ns.append(delay_ns)
         super().call_after(delay_ns, call, argument)
 
 
@@ -55,10 +55,10 @@
         self.discovery = Discovery(
             loop,
             self.timers,
-            address_of(server),
+            split_address(server),
             EndpointListParser(["a", "b"], ["m1", "m2"]),
             is_pushed,
-            DRAIN_GRACE,
+            DRAIN_GRACE_NS,
             lambda kind, endpoints: self.updates.put_nowait((kind, endpoints)),
         )
 
@@ -67,7 +67,7 @@
         """Start a server and a `Discovery` that has loaded its cached list."""
         harness = cls(await FakeDiscovery().start(), is_pushed)
         harness.discovery.load_cached_list(
-            {"generation": CACHED_GENERATION, "reset": True, "instances": [ENTRY]}
+            {"generation": CACHED_GENERATION, "reset": True, "instances": [ENDPOINT_ENTRY]}
         )
         kind, endpoints = await harness.updates.get()
         assert (kind, len(endpoints)) == (UpdateKind.CACHED, 1)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -20,10 +20,10 @@
 from gateway.dispatcher import BalancerFactory
 from gateway.gateway import Gateway
 
-LIMIT_S = 20.0
+TEST_TIMEOUT_S = 20.0
 """Time limit of each asynchronous test, s."""
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-LAST = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+CLOSING_RESPONSE = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
 """A response with `Connection: close`: the endpoint accepts no further request on this connection."""
 SETTINGS: dict[str, Any] = {
     "az": 0,
@@ -57,10 +57,10 @@
 
 
 def run_coroutine(function: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a coroutine function on uvloop, as the gateway does, with a time limit of `LIMIT_S`."""
+    """Run a coroutine function on uvloop, as the gateway does, with a time limit of `TEST_TIMEOUT_S`."""
 
     async def run() -> None:
-        await asyncio.wait_for(function(), LIMIT_S)
+        await asyncio.wait_for(function(), TEST_TIMEOUT_S)
 
     uvloop.run(run())
 
@@ -78,21 +78,21 @@
 
     def __init__(
         self,
-        first: str,
+        first_line: str,
         headers: dict[str, str],
         body: bytes,
         writer: asyncio.StreamWriter,
         reader: asyncio.StreamReader,
         closed: asyncio.Event | None,
     ) -> None:
-        self.first, self.headers, self.body = first, headers, body
+        self.first_line, self.headers, self.body = first_line, headers, body
         self.writer, self.reader, self._closed = writer, reader, closed
 
-    def reply(self, data: bytes = OK) -> None:
+    def reply(self, data: bytes = OK_RESPONSE) -> None:
         """Write bytes to the gateway, by default a complete response."""
         self.writer.write(data)
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the gateway has closed the connection of this request."""
         if self._closed is not None:
             await self._closed.wait()
@@ -108,7 +108,7 @@
     Without a `reply` the test itself responds, and only the first request of each connection is read.
     """
 
-    def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
+    def __init__(self, name: str = "h0", reply: bytes | None = OK_RESPONSE) -> None:
         self.name = name
         self.reply = reply
         self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
@@ -137,7 +137,7 @@
             if closed is not None:
                 closed.set()
 
-    def row(self, lifecycle: str = "in_service", **more_fields: Any) -> dict[str, Any]:
+    def make_entry(self, lifecycle: str = "in_service", **more_fields: Any) -> dict[str, Any]:
         """Return this endpoint's entry in the endpoint list, in the JSON form of discovery."""
         return {
             "instanceId": self.name,
@@ -176,22 +176,22 @@
             await reader.read()
 
     @staticmethod
-    def head(writer: asyncio.StreamWriter) -> None:
+    def start_watch_response(writer: asyncio.StreamWriter) -> None:
         """Write the head of the chunked response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
-    def line(
+    def write_watch_event(
         writer: asyncio.StreamWriter, generation: int, entries: list[dict[str, Any]], reset: bool = False
     ) -> None:
         """Write one watch event: a line of JSON, as one chunk."""
-        FakeDiscovery.raw(
+        FakeDiscovery.write_chunk(
             writer,
             json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode() + b"\n",
         )
 
     @staticmethod
-    def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
+    def write_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write these bytes as one chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -206,7 +206,7 @@
         """Write bytes to the gateway."""
         self.writer.write(data)
 
-    async def response(self) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """Read the next response; return its status, headers and body."""
         status_line, headers, body = await read_message(self.reader)
         return int(status_line.split()[1]), headers, body
@@ -214,20 +214,21 @@
     async def exchange(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
         """Send a request; return the status, headers and body of its response."""
         self.send(data)
-        return await self.response()
+        return await self.read_response()
 
 
 def request(
     class_name: str = "read",
     request_id: str = "r1",
-    drop: str = "",
+    omit_header: str = "",
     body: bytes = b"",
     path: str = "/x?q=1",
     **headers: str,
 ) -> bytes:
     """Return a request of a client, as bytes.
 
-    `request_id` is its X-Request-ID; `drop` names a header to omit; `headers` are added, with `_` for `-`.
+    `request_id` is its X-Request-ID; `omit_header` names a header to omit; `headers` are added, with
+    `_` for `-`.
     """
     lines = {
         "Host": "app.svc",
@@ -241,7 +242,7 @@
     if class_name != "read":
         lines["Content-Length"] = str(len(body))
     lines.update({name.replace("_", "-"): value for name, value in headers.items()})
-    lines.pop(drop, None)
+    lines.pop(omit_header, None)
     method = "GET" if class_name == "read" else "POST"
     head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
     return f"{method} /{class_name}{path} HTTP/1.1\r\n{head}\r\n".encode() + body
@@ -254,18 +255,18 @@
     discovery: FakeDiscovery
     gateway_address: tuple[str, int]
 
-    async def begin(
+    async def start(
         self,
         *endpoints: FakeEndpoint,
-        rows: list[dict[str, Any]] | None = None,
-        make: BalancerFactory = Balancer,
+        entries: list[dict[str, Any]] | None = None,
+        make_balancer: BalancerFactory = Balancer,
         configuration: dict[str, Any] | None = None,
         **settings: Any,
     ) -> GatewayHarness:
-        """Start a gateway whose cached endpoint list holds these endpoints, or `rows` instead.
+        """Start a gateway whose cached endpoint list holds these endpoints, or `entries` instead.
 
-        `configuration` replaces sections of its configuration, `settings` keys of its settings; `make`
-        creates its balancer.
+        `configuration` replaces sections of its configuration, `settings` keys of its settings;
+        `make_balancer` creates its balancer.
         """
         self.discovery = await FakeDiscovery().start()
         for endpoint in endpoints:
@@ -279,7 +280,9 @@
             "known": {
                 "generation": 41,
                 "reset": True,
-                "instances": [endpoint.row() for endpoint in endpoints] if rows is None else rows,
+                "instances": [endpoint.make_entry() for endpoint in endpoints]
+                if entries is None
+                else entries,
             },
             "settings": {**SETTINGS, **settings},
             **(configuration or {}),
@@ -288,20 +291,20 @@
             json.dump(config, file)
             file.flush()
             self.gateway = Gateway(
-                Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make
+                Configuration.read({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(), make_balancer
             )
         self.gateway_address = await self.gateway.start()
         return self
 
-    async def client(self) -> Client:
+    async def connect(self) -> Client:
         """Open a new connection to the gateway."""
         return Client(*await asyncio.open_connection(*self.gateway_address))
 
 
-async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Run the event loop until `ready` is true; await `step` between two tests of it.
+async def wait_until(condition: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
+    """Run the event loop until `condition` is true; await `step` between two tests of it.
 
     The time limit of the test ends the wait if that never happens.
     """
-    while not ready():
+    while not condition():
         await (step() if step is not None else asyncio.sleep(0))
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -17,16 +17,16 @@
 ROOT = Path(__file__).parent.parent.parent
 COMMAND = [sys.executable, "-B", "-m", "gateway"]
 
-_launched: list[asyncio.subprocess.Process] = []
+_started: list[asyncio.subprocess.Process] = []
 
 
-def end_launched() -> None:
+def kill_started_gateways() -> None:
     """Kill the gateways that a test left running, as later tests may be given the same ports."""
-    for process in _launched:
+    for process in _started:
         if process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGKILL)
-    _launched.clear()
+    _started.clear()
 
 
 def write_config(path: Path, discovery: FakeDiscovery, *endpoints: FakeEndpoint) -> dict[str, Any]:
@@ -36,32 +36,36 @@
         "discovery": discovery.address,
         "seed": "7",
         "settings": SETTINGS,
-        "known": {"generation": 41, "reset": True, "instances": [endpoint.row() for endpoint in endpoints]},
+        "known": {
+            "generation": 41,
+            "reset": True,
+            "instances": [endpoint.make_entry() for endpoint in endpoints],
+        },
     }
     path.write_text(json.dumps(config))
     return config
 
 
-async def launch(
-    path: Path, sockets: int = 0, **environ: str
+async def start_gateway(
+    path: Path, max_descriptors: int = 0, **environment: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
     """Start a gateway; return its process and its address, which it logs once it listens.
 
-    `sockets` limits the file descriptors of the process; 0 leaves the limit as inherited.
+    `max_descriptors` limits the file descriptors of the process; 0 leaves the limit as inherited.
     """
 
     def limit_descriptors() -> None:
-        if sockets:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
+        if max_descriptors:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=limit_descriptors,
-        env={**os.environ, "EDGE_CONFIG": str(path), **environ},
+        env={**os.environ, "EDGE_CONFIG": str(path), **environment},
     )
-    _launched.append(process)
+    _started.append(process)
     assert process.stderr is not None
     while True:
         line = (await process.stderr.readline()).decode()
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -13,7 +13,7 @@
 from gateway.upstream.endpoint import REUSE_DELAY_NS
 
 REQUEST_HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
-MAX_OPEN = 20
+MAX_CONNECTIONS = 20
 """Maximum number of connections that the harness's upstream may have open."""
 
 
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.timers = Timers(loop)
-        self.upstream = Upstream(loop, self.timers, MAX_OPEN, 250 * MS, 15 * SECOND)
+        self.upstream = Upstream(loop, self.timers, MAX_CONNECTIONS, 250 * MS, 15 * SECOND)
 
-    def list_endpoint(
+    def update_endpoint(
         self, address: str, state: EndpointState = EndpointState.READY, started_ns: int = 0
     ) -> None:
         """Send the upstream a delta of the endpoint list with its one endpoint."""
@@ -33,10 +33,10 @@
         entry = EndpointEntry("h0", 0, 0, 0, state, 1.0, started_ns)
         self.upstream.apply_endpoint_list(False, [ListedEndpoint(entry, (host, int(port)))])
 
-    def start(
-        self, within: int = 9 * SECOND, body: bytes = b""
+    def start_attempt(
+        self, timeout_ns: int = 9 * SECOND, body: bytes = b""
     ) -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
-        """Start an attempt that expires after `within` ns; return it and the future of its outcome."""
+        """Start an attempt that expires after `timeout_ns`; return it and the future of its outcome."""
         result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
         attempt = Attempt(
@@ -44,7 +44,7 @@
             0,
             Payload(REQUEST_HEAD + b"Content-Length: %d\r\n" % len(body), body),
             now,
-            now + within,
+            now + timeout_ns,
             lambda _, outcome, response: result.set_result((outcome, response)),
         )
         self.timers.call_at(attempt.deadline_ns, self._expire, attempt)
@@ -74,12 +74,12 @@
     return listener
 
 
-def address_of(listener: socket.socket) -> str:
+def format_address(listener: socket.socket) -> str:
     """Return the address of a bound socket as `host:port`, the form that discovery uses."""
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def full_listener() -> tuple[socket.socket, list[socket.socket], str]:
+def open_full_listener() -> tuple[socket.socket, list[socket.socket], str]:
     """Open a listener whose accept queue is full, so that connections to it stay pending.
 
     Return the listener, the sockets that fill its queue, and its address.
@@ -93,7 +93,7 @@
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
         fillers.append(sock)
-    return listener, fillers, address_of(listener)
+    return listener, fillers, format_address(listener)
 
 
 def peek(sock: socket.socket) -> bytes | None:
