--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -36,7 +36,7 @@
 
 __all__ = ["Balancer"]
 
-IMMUTABLE_SETTINGS = ("zone", "zones", "instance_number", "tick_ns", "poll_discovery", "load_report_fields")
+IMMUTABLE_SETTINGS = ("zone", "zones", "replica_index", "tick_ns", "poll_discovery", "load_report_fields")
 """Settings that can't change while the balancer runs."""
 
 
@@ -133,7 +133,7 @@
         """Handle a delta or snapshot from discovery, or a failed discovery call."""
         now = self._advance_clock(now_ns)
         if kind is UpdateKind.FAILED:
-            self.polling.failed(now)
+            self.polling.handle_failure(now)
             return
         changed = {entry.endpoint_id: self._update_endpoint(entry, now) for entry in entries}
         if kind is not UpdateKind.DELTA:
@@ -151,7 +151,7 @@
         if kind is UpdateKind.CACHED:
             self.polling.start(now)
         else:
-            self.polling.succeeded()
+            self.polling.handle_success()
 
     def _update_endpoint(self, entry: EndpointEntry, now: int) -> Endpoint:
         endpoint = self.endpoints.upsert(entry)
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -89,7 +89,7 @@
             pool.limit = max(
                 MIN_LIMIT, INITIAL_LIMIT_PER_ENDPOINT * max(fair_share, min(2 * fair_share, 1.0))
             )
-        size = sum(self._slow_start.current_capacity_share(endpoint, now) for endpoint in pool.endpoints)
+        size = sum(self._slow_start.capacity_share(endpoint, now) for endpoint in pool.endpoints)
         if size and pool.effective_size:
             pool.limit = max(MIN_LIMIT, pool.limit * size / pool.effective_size)
         pool.effective_size = size or pool.effective_size
@@ -104,9 +104,7 @@
         size = ejected_size = 0.0
         used = pool.in_flight
         for endpoint in pool.endpoints:
-            share = (
-                slow_start.current_capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
-            )
+            share = slow_start.capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
             size += share
             # This loop runs for every request. Few endpoints have failures, so the cheap check comes first.
             if endpoint.failure_share > MAX_FAILURE_SHARE and is_ejected(endpoint, t1, now):
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -75,13 +75,13 @@
         if self._is_enabled:
             self._call_later(int(self._random() * self._spread_ns))
 
-    def succeeded(self) -> None:
+    def handle_success(self) -> None:
         """Handle a successful call: a list or delta was received, and its watch is active."""
         self._is_watching = True
         self._is_missing_changes = False
         self._backoff_ns = 0.0
 
-    def failed(self, now: int) -> None:
+    def handle_failure(self, now: int) -> None:
         """Schedule the next call after a failed call or a broken watch.
 
         The backoff doubles and is randomized, over a wider range with more gateways: calls that fail together
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -34,7 +34,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self._zone = settings.zone
-        self._instance_number = settings.instance_number
+        self._replica_index = settings.replica_index
         self._replicas = settings.replicas
         self.by_id: dict[EndpointId, Endpoint] = {}
         self.ready_by_zone: list[list[Endpoint]] = [[] for _ in range(settings.zones)]
@@ -131,7 +131,7 @@
         size = max(MIN_SUBSET_SIZE, ceil(SUBSET_FACTOR * self.endpoints_per_gateway))
         if size >= len(endpoints):
             return list(endpoints)
-        start = int((self._instance_number * GOLDEN_RATIO) % 1.0 * len(endpoints))
+        start = int((self._replica_index * GOLDEN_RATIO) % 1.0 * len(endpoints))
         return [endpoints[(start + step) % len(endpoints)] for step in range(size)]
 
 
--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -120,7 +120,7 @@
         delay = (sample - baseline) * units
         if delay > 0 and endpoint.slow_start_until > now:
             # Latency that the minimum capacity in slow start explains does not count as queueing.
-            return max(0.0, (sample - baseline / self._slow_start.capacity_share(endpoint, now)) * units)
+            return max(0.0, (sample - baseline / self._slow_start.slow_start_share(endpoint, now)) * units)
         return delay
 
     def _observe(
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -142,7 +142,7 @@
     def on_settings(self, now_ns: int, settings: Settings) -> None:
         """Replace the settings for all later events; ignores the `tenants` field.
 
-        Open requests keep the class settings with which they arrived. `zone`, `zones`, `instance_number`,
+        Open requests keep the class settings with which they arrived. `zone`, `zones`, `replica_index`,
         `tick_ns`, `poll_discovery` and `load_report_fields` can't change, nor can the idempotency of a class
         that keeps its name: such a change raises ValueError, and the old settings stay in force.
         """
--- a/balancer/load_report.py
+++ b/balancer/load_report.py
@@ -20,12 +20,12 @@
 
 
 class LoadReports:
-    """Interprets load reports with the columns named in the settings."""
+    """Interprets load reports with the fields named in the settings."""
 
-    def __init__(self, columns: Sequence[str], throughput: Throughput) -> None:
+    def __init__(self, fields: Sequence[str], throughput: Throughput) -> None:
         self._throughput = throughput
-        self._column_count = len(set(columns))
-        positions = {name: columns.index(name) for name in columns}
+        self._field_count = len(set(fields))
+        positions = {name: fields.index(name) for name in fields}
         self._in_flight = positions.get(IN_FLIGHT)
         self._queue = positions.get(QUEUE)
         self._service_ms = positions.get(SERVICE_MS)
@@ -40,7 +40,7 @@
 
         `elapsed_ns` is the latency of that response.
         """
-        if not report or len(report) < self._column_count or inf in report:
+        if not report or len(report) < self._field_count or inf in report:
             return None
         delay = self._delay(endpoint, elapsed_ns, report)
         return delay if delay is not None and delay >= 0 else None
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -107,7 +107,7 @@
             self.pool.in_flight -= 1
             self.endpoint.released_in_flight += 1
 
-    def leave_endpoint(self) -> None:
+    def remove_from_counts(self) -> None:
         """Remove the ended attempt from the counts of its endpoint and pool."""
         self.endpoint.in_flight -= 1
         if self.has_released_capacity:
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -123,7 +123,7 @@
         attempt = self.attempts.pop((result.request_id, result.attempt), None)
         if attempt is None:
             return
-        attempt.leave_endpoint()
+        attempt.remove_from_counts()
         attempt.request.attempts_in_flight.discard(result.attempt)
         outcome = self._feedback.record_outcome(attempt, result, now)
         self._handle_outcome(attempt, outcome, result.is_final, now)
@@ -202,7 +202,7 @@
         if not is_repeatable and request.first_endpoint is not None:
             self._fail_or_reject(request, EndReason.NOT_RETRYABLE)
             return
-        self._schedule_retry(request, request.last_sent_at + self._retries.next_gap(request), now)
+        self._schedule_retry(request, request.last_sent_at + self._retries.start_gap(request), now)
 
     # ---- Retries ---------------------------------------------------------------------------------
 
@@ -237,7 +237,7 @@
         if endpoint is not None:
             self._send(request, endpoint, now)
         else:
-            self._schedule_retry(request, now + self._retries.next_gap(request), now)
+            self._schedule_retry(request, now + self._retries.start_gap(request), now)
 
     # ---- The end ---------------------------------------------------------------------------------
 
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -66,20 +66,20 @@
         )
         return max(self._tick_ns, int(min(expected_ns, longest_ns)))
 
-    def current_gap(self, request: Request) -> int:
+    def next_gap(self, request: Request) -> int:
         """Return the length of the request's next gap in ns, without starting it."""
         return request.t1 << min(request.gap_count, MAX_GAP_DOUBLINGS)
 
-    def next_gap(self, request: Request) -> int:
+    def start_gap(self, request: Request) -> int:
         """Start the next gap and return its length in ns."""
-        gap = self.current_gap(request)
+        gap = self.next_gap(request)
         request.gap_count += 1
         return gap
 
     def attempt_timeout(self, request: Request, now: int) -> int:
         """Return the timeout in ns of an attempt sent now: a gap if a retry could follow it, else 0."""
         time_left = request.deadline - now
-        gap = self.current_gap(request)
+        gap = self.next_gap(request)
         traffic_class = request.traffic_class
         if traffic_class.idempotency is Idempotency.NON_IDEMPOTENT or traffic_class.is_streaming:
             return 0
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -38,7 +38,7 @@
     name: str
     latency_objective_ns: int
     """Latency up to which a response has its full weight."""
-    deadline_ns: int
+    max_timeout_ns: int
     """Longest timeout that clients set for this class."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
@@ -54,7 +54,9 @@
 
     def __post_init__(self) -> None:
         owner = f"class {self.name!r}"
-        _require_positive(owner, latency_objective_ns=self.latency_objective_ns, deadline_ns=self.deadline_ns)
+        _require_positive(
+            owner, latency_objective_ns=self.latency_objective_ns, max_timeout_ns=self.max_timeout_ns
+        )
         _require_non_negative(
             owner,
             priority_weight=self.priority_weight,
@@ -217,7 +219,7 @@
     rules: Rules = field(default_factory=Rules)
     penalties: ScorePenalties = field(default_factory=ScorePenalties)
     score_weights: ScoreWeights = field(default_factory=ScoreWeights)
-    instance_number: int = 0
+    replica_index: int = 0
     """Index of this gateway among its replicas, from 0."""
     replicas: int = 1
     tick_ns: int = MS
@@ -233,18 +235,18 @@
     """Whether an endpoint serves a routing key faster if it has served that key before."""
     weight_by_work: bool = False
     """Whether a request's priority weight grows with its work."""
-    weights: str = "off"
+    weight_mode: str = "off"
     """Meaning of endpoint weights, one of `WEIGHT_MODES`; with "off" each weight is 1."""
     machine_types: int = 0
     clients_mark_retries: bool = False
 
     def __post_init__(self) -> None:
-        if self.weights not in WEIGHT_MODES:
+        if self.weight_mode not in WEIGHT_MODES:
             raise ValueError(
-                f"settings.weights must be one of {', '.join(WEIGHT_MODES)}, not {self.weights!r}"
+                f"settings.weight_mode must be one of {', '.join(WEIGHT_MODES)}, not {self.weight_mode!r}"
             )
         _require_non_negative(
-            "settings", instance_number=self.instance_number, over_quota_weight=self.over_quota_weight
+            "settings", replica_index=self.replica_index, over_quota_weight=self.over_quota_weight
         )
         _require_positive("settings", zones=self.zones, replicas=self.replicas, tick_ns=self.tick_ns)
         if not 0 <= self.zone < self.zones:
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -68,14 +68,14 @@
         endpoint.credit_updated_at = now
         endpoint.slow_start_credit = self._random()
 
-    def capacity_share(self, endpoint: Endpoint, now: int) -> float:
+    def slow_start_share(self, endpoint: Endpoint, now: int) -> float:
         """Return the minimum share of its capacity that an endpoint in slow start has."""
         elapsed_share = max(0, now - endpoint.started_at) / self._window_ns
         return min(1.0, self._initial_share + (1.0 - self._initial_share) * elapsed_share)
 
-    def current_capacity_share(self, endpoint: Endpoint, now: int) -> float:
+    def capacity_share(self, endpoint: Endpoint, now: int) -> float:
         """Return the minimum share of its capacity that any endpoint has: 1 outside slow start."""
-        return self.capacity_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
+        return self.slow_start_share(endpoint, now) if endpoint.slow_start_until > now else 1.0
 
     def keeps_candidate(self, endpoint: Endpoint, now: int) -> bool:
         """Whether an endpoint in slow start stays a candidate, at random by its capacity share.
@@ -83,7 +83,7 @@
         This needs neither a rate nor the number of gateways: each gateway reduces its own traffic by the same
         share.
         """
-        return self._random() < self.capacity_share(endpoint, now)
+        return self._random() < self.slow_start_share(endpoint, now)
 
     def has_credit(self, endpoint: Endpoint, now: int) -> bool:
         """Whether the endpoint may get an attempt: credit grows at this gateway's share of the budget."""
@@ -96,7 +96,7 @@
         # The load report covers the load from all gateways, of which this one sees only a small part.
         idle_share = 1.0 - endpoint.reported_in_flight / ASSUMED_IN_FLIGHT
         rate_factor = max(MIN_RATE_FACTOR, 1.0 + (IDLE_RATE_FACTOR - 1.0) * idle_share)
-        capacity_share = self.capacity_share(endpoint, now)
+        capacity_share = self.slow_start_share(endpoint, now)
         credit_per_s = (
             USED_BUDGET_SHARE * rate_factor * self._overload_factor * capacity_share * rate / gateway_count
         )
--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -108,6 +108,6 @@
         )
         return now_ns if is_implausible or start_ns > now_ns else start_ns
 
-    def _prune(self, listed_count: int) -> None:
-        while len(self._starts) > 2 * listed_count + MAX_UNLISTED_STARTS:
+    def _prune(self, entry_count: int) -> None:
+        while len(self._starts) > 2 * entry_count + MAX_UNLISTED_STARTS:
             del self._starts[next(iter(self._starts))]
--- a/balancer/tenant_quota.py
+++ b/balancer/tenant_quota.py
@@ -51,16 +51,16 @@
         before any change is applied.
         """
         size = len(self.quotas)
-        for position, _ in changes:
-            if not 0 <= position <= size:
-                raise ValueError(f"tenant {position} is not one of the {size} tenants, nor the next one")
-            size += position == size
-        for position, tenant in changes:
-            if position == len(self.quotas):
+        for index, _ in changes:
+            if not 0 <= index <= size:
+                raise ValueError(f"tenant {index} is not one of the {size} tenants, nor the next one")
+            size += index == size
+        for index, tenant in changes:
+            if index == len(self.quotas):
                 self.quotas.append(None)
-            quota = self.quotas[position]
+            quota = self.quotas[index]
             if quota is None or not tenant.quota_per_s:
-                self.quotas[position] = _quota_of(tenant)
+                self.quotas[index] = _quota_of(tenant)
             else:
                 quota.refill(replicas, now)
                 quota.quota_per_s = tenant.quota_per_s
--- a/balancer/throughput.py
+++ b/balancer/throughput.py
@@ -64,7 +64,7 @@
     streams.
     """
     return max(
-        request_class.deadline_ns
+        request_class.max_timeout_ns
         if request_class.objective_cost_factor or request_class.streaming
         else request_class.latency_objective_ns
         for request_class in classes
--- a/gateway/client/validation.py
+++ b/gateway/client/validation.py
@@ -47,7 +47,7 @@
         """`tenants` maps tenant names to slots; its owner updates it in place."""
         self._class_indexes = {item.name.encode(): index for index, item in enumerate(settings.classes)}
         self._idempotency = [item.idempotency for item in settings.classes]
-        self._max_timeouts_ns = [item.deadline_ns for item in settings.classes]
+        self._max_timeouts_ns = [item.max_timeout_ns for item in settings.classes]
         self._tenants = tenants
 
     def validate(self, request: ParsedRequest) -> ClientRequest:
--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -149,7 +149,7 @@
             "load-report": (self.load_report_columns, settings.load_report_inline),
             "settings.discovery": settings.poll_discovery,
             "round-ns": settings.tick_ns,
-            "my-number": settings.instance_number,
+            "my-number": settings.replica_index,
             "peers": (self.peers, self.broadcast_address, self.gossip_address, settings.limits.gossip),
             "request-classes": sorted(
                 (request_class.name, request_class.idempotency.value) for request_class in settings.classes
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -57,7 +57,7 @@
         """Return the schedule for the deadlines of the request classes."""
         overdue_ns = min(
             MAX_SHUTDOWN_TIME_NS,
-            max(request_class.deadline_ns for request_class in settings.classes) + DEADLINE_MARGIN_NS,
+            max(request_class.max_timeout_ns for request_class in settings.classes) + DEADLINE_MARGIN_NS,
         )
         draining_ns = max(ACCEPT_TIME_NS, min(MAX_SERVE_TIME_NS, overdue_ns - LAST_REQUEST_MARGIN_NS))
         return cls(draining_ns, overdue_ns)
--- a/scale/cold_start/fleet.py
+++ b/scale/cold_start/fleet.py
@@ -49,7 +49,7 @@
     request_class = RequestClass(
         "c",
         latency_objective_ns=8 * scenario.mean_work_ns,
-        deadline_ns=20 * scenario.mean_work_ns,
+        max_timeout_ns=20 * scenario.mean_work_ns,
         idempotency=Idempotency.SAFE,
         late_weight=0.3,
     )
@@ -58,7 +58,7 @@
         zone=number % scenario.zones,
         classes=(request_class,),
         limits=Limits(max_attempts=5),
-        instance_number=number,
+        replica_index=number,
         replicas=scenario.gateways,
         rules=scenario.rules,
         load_report_fields=("inflight",) if scenario.load_reports else (),
--- a/scale/cold_start/gateway.py
+++ b/scale/cold_start/gateway.py
@@ -62,7 +62,7 @@
     def receive(self, request_id: int) -> None:
         """Handle a new request of a client."""
         self._attempts_sent[request_id] = 0
-        timeout_ns = self._settings.classes[0].deadline_ns
+        timeout_ns = self._settings.classes[0].max_timeout_ns
         incoming = IncomingRequest(request_id, 0, 0, 0, timeout_ns, 0, False)
         self._balancer.on_request(self._network.now_ns, incoming)
 
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -66,7 +66,7 @@
     "changes",
     [
         {"zone": 1, "zones": 2},
-        {"instance_number": 1},
+        {"replica_index": 1},
         {"tick_ns": 5 * MS},
         {"poll_discovery": True},
         {"load_report_fields": ("queue",)},
--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -29,7 +29,7 @@
     """Make one of several gateways that poll discovery; it has no endpoint list yet."""
     settings = make_settings(
         replicas=replicas,
-        instance_number=number,
+        replica_index=number,
         poll_discovery=True,
         rules=Rules(poll_interval_ns=interval_s * SECOND),
     )
--- a/tests/balancer/test_endpoint_index.py
+++ b/tests/balancer/test_endpoint_index.py
@@ -76,7 +76,7 @@
 @given(UPDATES)
 def test_incremental_updates_match_a_fresh_index(updates: list[ListUpdate]) -> None:
     """After each update the index equals that of a gateway that starts with the resulting snapshot."""
-    gateway_settings = make_settings(zones=3, replicas=4, instance_number=1)
+    gateway_settings = make_settings(zones=3, replicas=4, replica_index=1)
     entries = [make_entry(f"h{number}", zone=number % 3, cell=number % 4) for number in range(30)]
     listed: dict[EndpointId, EndpointEntry] = {entry.endpoint_id: entry for entry in entries}
     gateway = GatewayModel(gateway_settings, list(listed.values()))
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -49,7 +49,7 @@
     sending to unresponsive endpoints.
     """
     fast = make_class(name="fast", latency_objective_ns=100 * MS)
-    slow = make_class(name="slow", latency_objective_ns=SECOND, deadline_ns=2 * SECOND)
+    slow = make_class(name="slow", latency_objective_ns=SECOND, max_timeout_ns=2 * SECOND)
     gateway = GatewayModel(make_settings(fast, slow), [make_entry("h")])
     endpoint = gateway.balancer.endpoints.by_id["h"]
     for now in (SECOND, 2 * SECOND):
@@ -57,7 +57,7 @@
     assert is_ejected(endpoint, 75 * MS, 3400 * MS)
 
 
-def test_endpoints_that_reject_everything_are_left_to_recover() -> None:
+def test_endpoints_that_reject_every_attempt_get_few_attempts() -> None:
     """Gateways went on sending to a subset that rejected all attempts for overload, so it never recovered."""
     gateway = GatewayModel(make_settings(), [make_entry("a"), make_entry("b")])
     for _ in range(400):  # 40 seconds
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -28,7 +28,7 @@
             DeduplicationScope.CELL,
             deduplication_window_ns=2 * SECOND,
             latency_objective_ns=SECOND,
-            deadline_ns=4 * SECOND,
+            max_timeout_ns=4 * SECOND,
         ),
         replicas=20,
     )
--- a/tests/balancer/test_settings_parser.py
+++ b/tests/balancer/test_settings_parser.py
@@ -118,7 +118,7 @@
         0.4,
         0.05,
     )
-    assert (parsed.clients_mark_retries, parsed.weights, parsed.machine_types, parsed.weight_by_work) == (
+    assert (parsed.clients_mark_retries, parsed.weight_mode, parsed.machine_types, parsed.weight_by_work) == (
         True,
         "rough",
         2,
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -30,7 +30,7 @@
     sent = 0
     for number in range(80):
         settings = make_settings(
-            replicas=80, instance_number=number, rules=rules, zones=zones, zone=number % zones
+            replicas=80, replica_index=number, rules=rules, zones=zones, zone=number % zones
         )
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
         serve_sequentially(gateway, 20, 80 * MS, 3120 * MS)
@@ -56,7 +56,7 @@
     )
     sent = 0
     for number in range(gateways):
-        settings = make_settings(replicas=gateways, instance_number=number, rules=rules)
+        settings = make_settings(replicas=gateways, replica_index=number, rules=rules)
         gateway = GatewayModel(settings, [make_entry("warm")], seed=number)
         serve_sequentially(gateway, 20, 300 * MS, 3120 * MS)
         replace_list_by_starting_endpoint(gateway)
@@ -77,7 +77,7 @@
     assert gateway.attempts_by_endpoint()["starting"] <= 2
 
 
-def test_endpoints_that_started_long_ago_are_warm_also_near_the_zero_of_the_clock() -> None:
+def test_endpoints_without_a_start_time_are_warm_soon_after_time_zero() -> None:
     """Near the zero of the clock all counted as in slow start, so the next endpoint list raised the limit."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     before = gateway.balancer.endpoints.local_pool.limit
@@ -123,7 +123,7 @@
     assert len(gateway.attempts) > before + 20
 
 
-def test_an_endpoint_in_slow_start_follows_the_rules_in_force() -> None:
+def test_changed_rules_apply_to_an_endpoint_in_slow_start() -> None:
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     gateway.run_until(100 * SECOND)
     gateway.update_endpoint_list(UpdateKind.DELTA, [make_entry("starting", started_ns=gateway.now_ns)])
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -87,7 +87,7 @@
     assert not gateway.violations
 
 
-def test_tenant_position_out_of_range_raises_and_has_no_effect() -> None:
+def test_tenant_index_out_of_range_raises_and_has_no_effect() -> None:
     gateway = GatewayModel(make_settings(tenants=(Tenant("a"),)), [make_entry("h")])
     with pytest.raises(ValueError, match="tenant 1 "):
         gateway.receive_request(tenant_index=1)
--- a/tests/scale/test_fleet.py
+++ b/tests/scale/test_fleet.py
@@ -51,7 +51,7 @@
     )
     configuration = Configuration.read({"EDGE_CONFIG": str(path)})
     settings = configuration.settings
-    assert (settings.instance_number, settings.zone, settings.replicas) == (4, 1, 20)
+    assert (settings.replica_index, settings.zone, settings.replicas) == (4, 1, 20)
     shares = [tenant.traffic_share for tenant in settings.tenants]
     assert sum(shares) == pytest.approx(1.0)
     assert shares[0] > 10 * shares[-1]
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -121,7 +121,7 @@
         """Deliver a request of a client, by default with the deadline of its class; return its id."""
         self._last_request_id += 1
         request_class = self.settings.classes[class_index]
-        effective_timeout_ns = request_class.deadline_ns if timeout_ns is None else timeout_ns
+        effective_timeout_ns = request_class.max_timeout_ns if timeout_ns is None else timeout_ns
         self.rule_checker.open_request(
             self._last_request_id, request_class, self.now_ns + effective_timeout_ns
         )
--- a/tests/support/settings_builders.py
+++ b/tests/support/settings_builders.py
@@ -29,7 +29,7 @@
     defaults: dict[str, Any] = {
         "name": "c",
         "latency_objective_ns": 400 * MS,
-        "deadline_ns": SECOND,
+        "max_timeout_ns": SECOND,
         "late_weight": 0.3,
         "deduplication_window_ns": SECOND if idempotency is Idempotency.IDEMPOTENCY_KEY else 0,
     }
