--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -88,7 +88,7 @@
     # ---- Settings --------------------------------------------------------------------------------
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
-        """Replace the settings; open requests keep their old class, including its retry rules."""
+        """Replace the settings; open requests keep the class settings with which they arrived."""
         now = self._advance_clock(now_ns)
         for name in IMMUTABLE_SETTINGS:
             if getattr(self.settings, name) != getattr(settings, name):
@@ -194,7 +194,7 @@
         self.lifecycle.end_attempt(result, self._advance_clock(now_ns))
 
     def on_client_gone(self, now_ns: int, request_id: int) -> None:
-        """Handle the disconnect of a client, which needs no response any more."""
+        """Handle the disconnect of the client of a request, which then needs no response."""
         self._advance_clock(now_ns)
         self.lifecycle.abandon(request_id)
 
--- a/balancer/concurrency_limit.py
+++ b/balancer/concurrency_limit.py
@@ -15,13 +15,13 @@
 __all__ = ["ConcurrencyLimit"]
 
 INITIAL_LIMIT_PER_ENDPOINT = 1.0
-"""Initial limit for each endpoint, as attempts in flight from all gateways together."""
+"""Initial limit per endpoint, over all gateways; up to twice that with more gateways than endpoints."""
 MIN_LIMIT = 0.1
 """Minimum limit: the few requests that still pass detect when congestion is over."""
 MIN_FAIR_SHARE = 0.5
-"""Minimum limit that delay alone can cause, for each endpoint of the gateway's fair share."""
+"""Floor of the limit while only delay lowers it, as a multiple of the endpoints per gateway."""
 GROWTH_STEP = 0.05
-"""Growth for one response at a low delay, so the relative growth in the time that its requests take."""
+"""Growth of the limit for one response at a low delay; in one mean latency, it grows by about this share."""
 FAST_GROWTH_STEPS = 4.0
 """Growth for one response, in steps, while requests wait and endpoints are idle."""
 MAX_DECREASE_STEPS = 8.0
@@ -51,7 +51,7 @@
         return used + self._random() < limit
 
     def adapt(self, pool: EndpointPool, endpoint: Endpoint, was_rejected: bool, t1: int, now: int) -> None:
-        """Adapts the pool's limit to the outcome of an attempt at one of its endpoints.
+        """Adapt the pool's limit to the outcome of an attempt at one of its endpoints.
 
         Endpoints that get too many requests queue them and slow down, so the limit follows the pool's
         smoothed delay. A rejection for overload lowers the limit by itself, because it returns so fast that
@@ -77,7 +77,7 @@
         pool.limit = max(floor, pool.limit + step)
 
     def rescale(self, pool: EndpointPool, now: int) -> None:
-        """Scales the limit to the endpoints that the pool has now.
+        """Scale the limit to the endpoints that the pool has now.
 
         Without it, a few remaining endpoints with the limit of many would be overloaded before the delay
         shows it, and many endpoints would stay idle behind the limit of a few. The first endpoints set the
--- a/balancer/delay_estimate.py
+++ b/balancer/delay_estimate.py
@@ -33,7 +33,7 @@
 HOLD_TIME_T1 = 1.0
 """Time before a delay starts to decay, in T1; it doubles with each consecutive failure."""
 MAX_HOLD_DOUBLINGS = 4
-"""Maximum number of times the hold time doubles, so that recovery is detected within some T1s."""
+"""Maximum number of times the hold time doubles: it is at most 16 T1, so that a recovery is detected."""
 DECAY_TIME_T1 = 2.0
 """Time constant of the decay, in T1."""
 FAILURE_WEIGHT = 0.2
@@ -49,11 +49,11 @@
         self.clear()
 
     def clear(self) -> None:
-        """Discards all observations."""
+        """Discard all observations."""
         self.smoothed_delay = 0.0
         self.updated_at = 0
         self.failure_streak = 0
-        """Consecutive failures, each of an attempt that was sent after the previous one was known."""
+        """Consecutive failures, each of an attempt that was sent after the previous failure became known."""
         self.last_failure_at = 0
         """Time at which the last failure of the streak became known, ns."""
         self.failure_share = 0.0
@@ -63,8 +63,8 @@
         """Return the delay in ns at `now`, after decay, for a request with this T1."""
         if not self.smoothed_delay:
             return 0.0
-        # The decay takes at least the paper's T1. With a shorter one, requests would consider an endpoint
-        # recovered that still fails for others.
+        # The decay uses at least the paper's T1. With a shorter one, an endpoint that still fails for other
+        # requests would count as recovered.
         t1 = max(t1, REFERENCE_T1_NS)
         doublings = min(self.failure_streak, MAX_HOLD_DOUBLINGS)
         decaying_ns = now - self.updated_at - HOLD_TIME_T1 * t1 * (1 << doublings)
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -28,10 +28,11 @@
 REWATCH_SPREAD_NS = SECOND
 """Maximum time over which calls after broken watches are spread, in ns.
 
-A change missed meanwhile counts as notified 6 s later, and a silent watch is noticed only after half of that.
+It is short: a missed change counts as notified after 6 s, and half of that may pass before a silent watch is
+detected.
 """
 NOTIFIED_AFTER_NS = 6 * SECOND
-"""Time in ns after which a change counts as notified, whatever fails, once reachable discovery has it."""
+"""Time in ns after which a change in a reachable discovery counts as notified, even if calls fail."""
 CALL_QUEUEING_NS = 2 * SECOND
 """Part of `NOTIFIED_AFTER_NS` reserved for the next call to wait in the queue of discovery, in ns."""
 
@@ -87,8 +88,8 @@
         The backoff doubles and is randomized, over a wider range with more gateways: calls that fail together
         would otherwise be repeated together, and discovery spends time on each of them before it fails. A
         broken watch is not a failed call: the next call follows soon, as endpoints may start to drain in the
-        meantime. If that call fails too, its backoff starts as small, as missed changes may already count as
-        notified.
+        meantime. If that call fails too, the backoff also starts small, because missed changes may already
+        count as notified.
         """
         was_watching, self._is_watching = self._is_watching, False
         if not self._is_enabled:
@@ -108,8 +109,9 @@
     def _next_backoff(self, now: int) -> float:
         """Return the maximum delay before the next call, in ns.
 
-        Unless it is below `REWATCH_SPREAD_NS`, it ends `CALL_QUEUEING_NS` before changes that discovery may
-        have by now count as notified: the longer a call took to fail, the sooner the next one follows.
+        It is shortened, but not below `REWATCH_SPREAD_NS`, so that the call is made `CALL_QUEUEING_NS` before
+        a change that discovery may have by now counts as notified. The longer a call took to fail, the sooner
+        the next one follows.
         """
         first = max(FIRST_BACKOFF_SHARE * self._interval_ns, self._spread_ns)
         if self._is_missing_changes:
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -78,7 +78,7 @@
         self.broken_streak = 0
         """Consecutive attempts that ended with a broken connection or an invalid response."""
         self.last_was_rejection = False
-        """Whether it rejected the last attempt that it accepted or rejected."""
+        """Whether it rejected the last attempt that succeeded or was rejected; other failures don't count."""
         self.slow_start_until = 0
         self.slow_start_credit = 0.0
         """Attempts that this gateway may send now while the endpoint is in slow start."""
@@ -86,7 +86,7 @@
 
 
 class EndpointPool(DelayEstimate):
-    """The endpoints of the own zone, or of the other zones, from which this gateway selects.
+    """Endpoints of the gateway's zone, or of the other zones, from which the gateway selects.
 
     The delay estimate is in units of `REFERENCE_T1_NS`.
     """
--- a/balancer/endpoint_index.py
+++ b/balancer/endpoint_index.py
@@ -93,7 +93,7 @@
         return self.local_pool if endpoint.zone == self._zone else self.remote_pool
 
     def pools(self) -> tuple[EndpointPool, EndpointPool]:
-        """Return the pools of the own zone and of the other zones."""
+        """Return the local and the remote pool."""
         return self.local_pool, self.remote_pool
 
     def _rebuild(self) -> None:
--- a/balancer/endpoint_selection.py
+++ b/balancer/endpoint_selection.py
@@ -90,8 +90,9 @@
     def should_spill_over(self, now: int) -> bool:
         """Whether a request goes to other zones: the local delay exceeds theirs by a random threshold.
 
-        The condition in the settings, a delay of T1 at every candidate, would apply too late: with few
-        responses per endpoint, no single estimate reaches T1 until long after the zone is overloaded.
+        The pools are compared, and not the endpoints. A delay of T1 at every candidate as the condition would
+        apply too late: with few responses per endpoint, no single estimate reaches T1 until long after the
+        zone is overloaded.
         """
         local = self._endpoints.local_pool.current_delay(REFERENCE_T1_NS, now)
         remote = self._endpoints.remote_pool.current_delay(REFERENCE_T1_NS, now)
@@ -99,7 +100,7 @@
         return threshold < local - max(0.0, remote)
 
     def _draw_pair(self, candidates: Sequence[Endpoint]) -> tuple[Endpoint, Endpoint]:
-        """Draws two random endpoints; they differ if there are at least two."""
+        """Draw two random endpoints; they differ if there are at least two."""
         size = len(candidates)
         first = int(self._random() * size)
         if size == 1:
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -122,13 +122,13 @@
         """
 
     def on_response_started(self, now_ns: int, request_id: int, attempt: int) -> None:
-        """Handle the start of a streamed response, binding the request to its attempt with no deadline."""
+        """Handle the start of a streamed response: its request has no deadline and no further attempt."""
 
     def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:
         """Handle the end of an attempt."""
 
     def on_client_gone(self, now_ns: int, request_id: int) -> None:
-        """Handle the disconnect of a client, which needs no response any more."""
+        """Handle the disconnect of the client of a request, which then needs no response."""
 
     def on_timer(self, now_ns: int, token: int) -> None:
         """Handle the expiry of a timer."""
@@ -144,7 +144,7 @@
 
         Open requests keep the class settings with which they arrived. `zone`, `zones`, `replica_index`,
         `tick_ns`, `poll_discovery` and `load_report_fields` can't change, nor can the idempotency of a class
-        that keeps its name: such a change raises ValueError, and the old settings stay in force.
+        that keeps its name: such a change raises ValueError and leaves the settings unchanged.
         """
 
     def on_tenants(self, now_ns: int, changes: Sequence[tuple[int, Tenant]]) -> None:
--- a/balancer/load_shedding.py
+++ b/balancer/load_shedding.py
@@ -14,9 +14,9 @@
 TARGET_DELAY_T1 = 0.14
 """Delay of a pool, in T1, at which its limit settles: below the lower threshold of the retry gate."""
 SHEDDING_START_SHARE = 0.05
-"""Share of requests within quota that miss their objective at which load shedding starts."""
+"""Load shedding starts when this share of the requests within quota miss their objective."""
 FULL_SHEDDING_SHARE = 0.25
-"""Share of requests within quota that miss their objective at which all eligible requests are shed."""
+"""All eligible requests are shed when this share of the requests within quota miss their objective."""
 TRIAL_INTERVAL_OBJECTIVES = 8
 """Maximum time without a sent request of a class, in latency objectives, before one is sent as a trial."""
 
@@ -40,7 +40,7 @@
         return min(max(share, 0.0), 1.0)
 
     def should_shed(self, request: Request, now: int) -> bool:
-        """Decides whether to shed a request whose remaining time is shorter than even a fast response takes.
+        """Whether to shed a request whose remaining time is shorter than even a fast response takes.
 
         Its work would be wasted and would delay other requests. A fast response is one deviation below the
         mean, so that classes with long-tailed latency are not affected. Latencies are learned only from
--- a/balancer/outlier.py
+++ b/balancer/outlier.py
@@ -12,13 +12,13 @@
 MAX_FAILURE_SHARE = 0.15
 """Share of failures above which an endpoint may be ejected; a single recent failure exceeds it."""
 MIN_BROKEN_STREAK = 3
-"""Consecutive broken connections or invalid responses that count as a failure; every endpoint has a few."""
+"""Consecutive broken connections or invalid responses from which each is a failure; a few are normal."""
 BROKEN_OUTCOMES = (Outcome.RESET, Outcome.INVALID_RESPONSE)
 _NOT_CAUSED_BY_ENDPOINT = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.BAD_REQUEST)
 
 
 def is_ejected(endpoint: Endpoint, t1: int, now: int) -> bool:
-    """Whether first attempts with this T1 avoid the endpoint: it has failures, and few retries pass its gate.
+    """Whether first attempts with this T1 avoid the endpoint, because of failures and a high delay.
 
     Delay alone does not eject an endpoint: long requests would eject healthy endpoints, and the remaining
     ones would be overloaded. After a failure, an endpoint gets one attempt at a time until one succeeds, as
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -72,7 +72,7 @@
         self.first_sent_at = 0
         self.attempts_in_flight: set[int] = set()
         self.is_streaming = False
-        """Whether a streamed response has begun, which binds the request to one attempt, with no deadline."""
+        """Whether a streamed response has begun: the request has no deadline and gets no further attempt."""
         self.is_queued = False
         self.is_done = False
 
@@ -86,7 +86,7 @@
 
 
 class Attempt:
-    """An attempt in flight; it may outlive its request, as its outcome still tells about the endpoint."""
+    """An attempt in flight; it may outlive its request, as its outcome still counts for the endpoint."""
 
     __slots__ = ("endpoint", "has_released_capacity", "is_overdue", "number", "pool", "request")
 
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -96,14 +96,14 @@
             self._send(request, endpoint, now)
 
     def _enqueue(self, request: Request, now: int) -> None:
-        """Queue a request until an ended attempt frees capacity, or until it could hardly be in time."""
+        """Queue a request until there is capacity, for at most `MAX_QUEUE_SHARE` of its latency objective."""
         latest = request.arrived_at + int(MAX_QUEUE_SHARE * request.objective_ns)
         request.wait_ends_at = min(latest, request.deadline - self._settings.tick_ns)
         self._wait_queue.add(request, self._priority(request))
         self._timers.set(request, request.wait_ends_at - now)
 
     def _priority(self, request: Request) -> float:
-        """Priority weight per second of expected work; only the weight where that already grows with work."""
+        """Return the priority weight per second of expected work, or the weight if that grows with work."""
         traffic_class = request.traffic_class
         if self._settings.weight_by_work:
             return traffic_class.priority_weight
@@ -239,7 +239,7 @@
         else:
             self._schedule_retry(request, now + self._retries.start_gap(request), now)
 
-    # ---- The end ---------------------------------------------------------------------------------
+    # ---- Final responses -------------------------------------------------------------------------
 
     def abandon(self, request_id: int) -> None:
         """Drop a request whose client has disconnected, and cancel its attempts."""
--- a/balancer/retry.py
+++ b/balancer/retry.py
@@ -53,7 +53,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings."""
+        """Replace the settings."""
         self._max_attempts = settings.limits.max_attempts
         self._tick_ns = settings.tick_ns
 
@@ -67,7 +67,7 @@
         return max(self._tick_ns, int(min(expected_ns, longest_ns)))
 
     def next_gap(self, request: Request) -> int:
-        """Return the length of the request's next gap in ns, without starting it."""
+        """Return the length of the request's next gap in ns."""
         return request.t1 << min(request.gap_count, MAX_GAP_DOUBLINGS)
 
     def start_gap(self, request: Request) -> int:
@@ -85,9 +85,9 @@
             return 0
         if 2 * gap > time_left or request.attempt_count >= self._max_attempts:
             return 0
-        # A retry that would miss the objective by the mean latency only duplicates work, as healthy endpoints
-        # may be slow, mainly with long requests. An endpoint that does not respond is detected anyway, by its
-        # overdue attempt.
+        # A retry that would miss the objective at the mean latency would only duplicate work, as healthy
+        # endpoints may be slow, mainly with long requests. An endpoint that does not respond is detected
+        # anyway, by its overdue attempt.
         if gap + request.expected_latency(0.0) > request.arrived_at + request.objective_ns - now:
             return 0
         if traffic_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,6 +1,7 @@
 """Settings of a balancer, validated on construction.
 
-An invalid value raises ValueError with the name of its field.
+An invalid value raises ValueError with the name of its field. The message names `score_weights` and
+`penalties` by their keys, `goal` and `prices`.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 def _require_share(owner: str, **values: float) -> None:
     for name, value in values.items():
         if not 0 <= value <= 1:
-            raise ValueError(f"{owner}.{name} must lie between 0 and 1, not {value!r}")
+            raise ValueError(f"{owner}.{name} must be between 0 and 1, not {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +40,7 @@
     latency_objective_ns: int
     """Latency up to which a response has its full weight."""
     max_timeout_ns: int
-    """Longest timeout that clients set for this class."""
+    """Maximum timeout that clients set for this class."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
@@ -73,7 +74,7 @@
 
     name: str
     quota_per_s: float = 0.0
-    """Requests per second over all gateways that have their full weight; 0 for no quota."""
+    """Requests per second with full weight, over all gateways; 0 for no quota."""
     traffic_share: float = 0.0
     """Share of all traffic that comes from this tenant; 0 if unknown."""
 
@@ -102,9 +103,9 @@
     """Time after which endpoints close an idle connection; 0 if unknown."""
     streams_per_connection: int = 1
     max_open_requests: int = 0
-    """Open requests of a gateway, which rejects any further ones before its balancer; 0 for no limit."""
+    """Maximum number of open requests; the gateway rejects more without its balancer. 0 for no limit."""
     cpu_us_per_s: float = 0.0
-    """Microseconds of CPU time per second; 0 if unknown."""
+    """CPU time available to a gateway, in microseconds per second; 0 if unknown."""
     cpu_us_per_request: float = 0.0
 
     def __post_init__(self) -> None:
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreWeights:
-    """Weights of the components of the operators' score; all 0 if unknown."""
+    """Weights of the components of the operators' score, 0 if unknown, and the parameter `top_nines`."""
 
     overall: float = 0.0
     worst_window: float = 0.0
@@ -220,7 +221,7 @@
     penalties: ScorePenalties = field(default_factory=ScorePenalties)
     score_weights: ScoreWeights = field(default_factory=ScoreWeights)
     replica_index: int = 0
-    """Index of this gateway among its replicas, from 0."""
+    """Index of this gateway among the replicas, from 0."""
     replicas: int = 1
     tick_ns: int = MS
     """Resolution of the timers."""
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -17,8 +17,8 @@
 IDLE_RATE_FACTOR = 2.0
 """Factor on the used budget for an endpoint that reports that it is idle.
 
-An endpoint that reports `ASSUMED_IN_FLIGHT` requests in flight has a factor of 1, one that reports more a
-lower one.
+The factor falls with the reported number of requests in flight: it is 1 at `ASSUMED_IN_FLIGHT`, and less
+above that.
 """
 MIN_RATE_FACTOR = 0.25
 """Minimum factor on the used budget: without any requests the endpoint would send no more load reports."""
@@ -47,7 +47,7 @@
         self._overload_factor = settings.rules.overload_factor
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings, also to endpoints that are already in slow start."""
+        """Replace the settings, also for endpoints that are already in slow start."""
         self._replicas = settings.replicas
         self._window_ns = settings.rules.slow_start_window_ns
         self._initial_share = settings.rules.slow_start_initial_share
@@ -86,7 +86,10 @@
         return self._random() < self.slow_start_share(endpoint, now)
 
     def has_credit(self, endpoint: Endpoint, now: int) -> bool:
-        """Whether the endpoint may get an attempt: credit grows at this gateway's share of the budget."""
+        """Update the credit of an endpoint, and return whether it allows an attempt.
+
+        The credit grows at this gateway's share of the overload budget.
+        """
         # All gateways that draw from the endpoint count, including those of other zones: their requests spill
         # over to a zone that recovers.
         ready_count = max(1, len(self._endpoints.ready_by_zone[endpoint.zone]))
--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -18,9 +18,9 @@
 __all__ = ["MAX_PUBLICATION_DELAY_NS", "MAX_UNLISTED_STARTS", "StartTimes"]
 
 MAX_PUBLICATION_DELAY_NS = 10 * SECOND
-"""Maximum time in ns from a start to its publication, if discovery was heard from just before."""
+"""Maximum time in ns from a start to its publication, if an update or heartbeat arrived just before."""
 MAX_UNLISTED_STARTS = 256
-"""Starts of unlisted endpoints that are stored beyond one per listed endpoint: one may be listed again."""
+"""Starts that are stored beyond two per entry of the last update; unlisted endpoints may be listed again."""
 
 
 class _Start(NamedTuple):
@@ -33,7 +33,12 @@
 
 
 class StartTimes:
-    """Start times on the monotonic clock; after the first list a known start is not converted again."""
+    """Start times on the monotonic clock; after the first list a stored start is not converted again.
+
+    After an update, the newest `2 * entries + MAX_UNLISTED_STARTS` starts stay stored, where `entries` is the
+    size of that update. An older start is dropped, even if its endpoint is still listed, and converted again
+    if it is published again.
+    """
 
     def __init__(self) -> None:
         self._starts: dict[EndpointId, _Start] = {}
--- a/balancer/throughput.py
+++ b/balancer/throughput.py
@@ -26,7 +26,7 @@
         self._longest_latency = _longest_latency(classes)
 
     def apply_settings(self, classes: Sequence[RequestClass]) -> None:
-        """Apply new request classes."""
+        """Replace the request classes."""
         self._longest_latency = _longest_latency(classes)
 
     def count_response(self, now: int) -> None:
@@ -60,8 +60,8 @@
 def _longest_latency(classes: Sequence[RequestClass]) -> int:
     """Return the longest time that a request takes outside slow start, by the settings of the classes.
 
-    It is the latency objective, or the deadline where the objective grows with the cost hint or the class
-    streams.
+    It is the latency objective, or the maximum timeout where the objective grows with the cost hint or the
+    class streams.
     """
     return max(
         request_class.max_timeout_ns
--- a/balancer/traffic_class.py
+++ b/balancer/traffic_class.py
@@ -7,7 +7,10 @@
 __all__ = ["LATENCY_WEIGHT", "TrafficClass"]
 
 LATENCY_WEIGHT = 0.05
-"""Weight of one response in the mean latency and its deviation."""
+"""Weight of one response in the mean latency of a class, in its deviation, and in `Throughput`.
+
+It is also the weight of one request in the share of requests that miss their objective.
+"""
 BASELINE_WEIGHT = 0.005
 """Weight of one response in the baseline latency, once 1 / weight responses have been seen."""
 CONGESTED_WEIGHT_SHARE = 0.1
--- a/balancer/units.py
+++ b/balancer/units.py
@@ -1,4 +1,4 @@
-"""Time units. All times and durations in this package are integers in nanoseconds."""
+"""Time units. Times are integers in nanoseconds; durations are too, unless smoothed or named otherwise."""
 
 from __future__ import annotations
 
--- a/balancer/wait_queue.py
+++ b/balancer/wait_queue.py
@@ -9,7 +9,7 @@
 __all__ = ["WaitQueue"]
 
 MAX_STALE_ENTRIES = 32
-"""Entries of removed requests, beyond one per waiting request, that the heap holds before a rebuild."""
+"""The heap is rebuilt when entries of removed requests outnumber the waiting requests by more than this."""
 
 
 class WaitQueue:
--- a/simulator/decoder.py
+++ b/simulator/decoder.py
@@ -34,7 +34,7 @@
 BATCH_HEADER = struct.Struct(">IIQ")
 """Header of a batch: record count, frame length in bytes including this header, and time in ns."""
 MAX_FRAME_BYTES = 1 << 30
-"""Longest frame accepted; batches take megabytes, so a greater length is not that of a batch."""
+"""Maximum length of a frame; batches take megabytes, so a greater length indicates malformed input."""
 
 _Decoder = Callable[[bytes, int], tuple[Record, int]]
 """Decodes the record whose fields start at an offset; returns it and the offset of the next record."""
--- a/simulator/host.py
+++ b/simulator/host.py
@@ -52,7 +52,7 @@
 
 
 class InstanceHost:
-    """Balancer instances of one process; they share only the reply buffer."""
+    """Balancer instances of one process; they share the reply buffer and the endpoint list pages."""
 
     def __init__(self, make_balancer: BalancerFactory = Balancer) -> None:
         self._make_balancer = make_balancer
--- a/simulator/records.py
+++ b/simulator/records.py
@@ -49,7 +49,7 @@
 
 
 class InstanceStarted(NamedTuple):
-    """Creates a balancer instance."""
+    """Request to create a balancer instance."""
 
     instance: int
     seed: int
@@ -58,7 +58,7 @@
 
 
 class InstanceStopped(NamedTuple):
-    """Removes a balancer instance, which receives no further events."""
+    """Request to remove a balancer instance, which receives no further events."""
 
     instance: int
 
@@ -71,7 +71,7 @@
 
 
 class EndpointListUpdated(NamedTuple):
-    """Discovery sent an endpoint list page to an instance, or a discovery call failed."""
+    """An endpoint list page from discovery for an instance, or a failed discovery call."""
 
     instance: int
     update_kind: int
@@ -81,7 +81,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A request arrived from a client."""
+    """A request from a client."""
 
     instance: int
     request_id: int
@@ -95,7 +95,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The response to an attempt started to stream."""
+    """Start of a streamed response to an attempt."""
 
     instance: int
     request_id: int
@@ -103,7 +103,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended with an outcome."""
+    """End of an attempt, with its outcome."""
 
     instance: int
     request_id: int
@@ -116,21 +116,21 @@
 
 
 class ClientGone(NamedTuple):
-    """The client of a request disconnected."""
+    """Disconnect of the client of a request."""
 
     instance: int
     request_id: int
 
 
 class TimerExpired(NamedTuple):
-    """A timer set by the instance expired."""
+    """Expiry of a timer set by the instance."""
 
     instance: int
     token: int
 
 
 class HealthChecked(NamedTuple):
-    """A health check of an endpoint ended."""
+    """Result of a health check of an endpoint."""
 
     instance: int
     endpoint_id: bytes
@@ -140,7 +140,7 @@
 
 
 class GossipReceived(NamedTuple):
-    """A gossip message arrived from a peer."""
+    """A gossip message from a peer."""
 
     instance: int
     peer: int
--- a/simulator/reply.py
+++ b/simulator/reply.py
@@ -89,11 +89,11 @@
         """Start the next attempt of a request."""
         self._add(_ATTEMPT_LAYOUT.pack(_SEND_ATTEMPT, self._instance, request_id, endpoint_id, timeout_ns))
 
-    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - of the interface
+    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - required by the interface
         """Fail a request; the wire format has no field for the reason."""
         self._add(_FAIL_LAYOUT.pack(_FAIL, self._instance, request_id))
 
-    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - of the interface
+    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - required by the interface
         """Reject a request; the wire format has no field for the reason."""
         self._add(_REJECT_LAYOUT.pack(_REJECT, self._instance, request_id, retry_after_ns))
 
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -8,7 +8,7 @@
 
 
 def test_a_change_of_the_endpoint_list_does_not_reset_the_limit() -> None:
-    """Each change of the endpoint list reset the limit, so all gateways sent a burst to a congested fleet."""
+    """A reset at each change would let all gateways send a burst to a congested fleet."""
     entries = make_entries(8)
     gateway = GatewayModel(make_settings(), entries)
     for _ in range(60):
@@ -25,7 +25,7 @@
 
 
 def test_many_gateways_that_start_together_send_about_two_requests_an_endpoint() -> None:
-    """With an initial limit of one request per pool, hundreds of gateways congested a small fleet."""
+    """An initial limit of one request per pool would let hundreds of gateways congest a small fleet."""
     settings = make_settings(replicas=200)
     attempts = 0
     for seed in range(200):
@@ -36,7 +36,7 @@
 
 
 def test_the_last_endpoint_that_is_not_ejected_does_not_get_the_capacity_of_all() -> None:
-    """With two of three endpoints ejected, the third got the full limit, was congested and ejected too."""
+    """The full limit would congest the third endpoint while two are ejected, and it would be ejected too."""
     gateway = GatewayModel(make_settings(), make_entries(3))
     serve_sequentially(gateway, 30, 10 * MS)
     endpoints = gateway.balancer.endpoints
@@ -55,7 +55,7 @@
 
 
 def test_the_limit_does_not_grow_fast_while_every_endpoint_is_busy() -> None:
-    """At a start under full load, with no baseline latency, limits grew from 3 to 14 in half a second."""
+    """At a start under full load, with no baseline latency, limits must not grow from 3 to 14 in 0.5 s."""
     gateway = GatewayModel(make_settings(), make_entries(3))
     for _ in range(9):
         gateway.receive_request()
--- a/tests/balancer/test_delay_estimate.py
+++ b/tests/balancer/test_delay_estimate.py
@@ -10,8 +10,8 @@
 def test_attempts_that_fail_together_are_one_failure_of_the_streak() -> None:
     """Failures of attempts that were in flight together count once.
 
-    An endpoint that hung for 3 s with 19 attempts in flight stayed ejected for 8 s more, and the others were
-    overloaded.
+    Otherwise an endpoint that hangs for 3 s with 19 attempts in flight would stay ejected for 8 s more, and
+    the others would be overloaded.
     """
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     serve_sequentially(gateway, 60, 10 * MS, 0)
--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -15,7 +15,7 @@
 from tests.support.settings_builders import make_entry, make_settings
 
 NOTIFIED_AFTER_NS = 6 * SECOND
-"""Time after which a change counts as notified, once reachable discovery has it; then the grace begins."""
+"""Time after which a change in a reachable discovery counts as notified; the grace period then begins."""
 GRACE_NS = SECOND
 """Time after the notification for which a draining endpoint may still get attempts."""
 QUEUE_TIMEOUT_NS = 3 * SECOND
@@ -148,8 +148,8 @@
 ) -> None:
     """All gateways must have a list within 6 s and a grace period of 1 s after an outage.
 
-    Discovery needs at most 4.8 s to serve them. A backoff of up to 7.5 s after a failed call was too long, as
-    the next call may be queued for another 4 s.
+    Discovery needs at most 4.8 s to serve them. A backoff of up to 7.5 s after a failed call would be too
+    long, as the next call may be queued for another 4 s.
     """
     for seed in range(3):
         models = [make_gateway(number, gateways, 1000 * seed + number) for number in range(gateways)]
@@ -163,7 +163,7 @@
 
 
 def test_backoff_is_bounded_at_a_long_polling_interval() -> None:
-    """At an interval of a minute first calls were spread over 30 s, and failed ones repeated after 45 s."""
+    """First calls must not spread over 30 s at an interval of a minute, nor repeated ones come after 45 s."""
     for outage in (UNREACHABLE, SILENT):
         models = [make_gateway(number, 60, number, interval_s=60) for number in range(60)]
         for model in models:
@@ -173,7 +173,7 @@
 
 
 def test_calls_of_many_gateways_are_spread_after_a_common_start() -> None:
-    """Forty first calls were made within a quarter of the interval, and failed calls repeated together."""
+    """Forty first calls must not come within a quarter of the interval, nor failed calls repeat together."""
     first_calls: list[int] = []
     repeated_calls: list[int] = []
     for number in range(40):
@@ -191,7 +191,7 @@
 
 
 def test_simultaneously_broken_watches_are_renewed_soon_and_spread() -> None:
-    """Calls after a broken watch were up to 7.5 s late, while missed changes count as notified after 6 s."""
+    """Calls after a broken watch must not be up to 7.5 s late: missed changes count as notified after 6 s."""
     times: list[int] = []
     for number in range(200):
         gateway = make_gateway(number, 200, number)
@@ -204,7 +204,7 @@
 
 
 def test_backoff_after_a_broken_watch_starts_small() -> None:
-    """At an interval of one minute, the call after a broken watch and a failed call was up to 9 s late."""
+    """At an interval of one minute, the call after a broken watch and a failed call must not be 9 s late."""
     for number in range(20):
         gateway = make_gateway(number, 200, number, interval_s=60)
         gateway.update_endpoint_list(UpdateKind.SNAPSHOT, ENTRIES)
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -10,8 +10,8 @@
 def test_selection_uses_weight_and_measured_latency() -> None:
     """Selection uses both the weight and the measured latency of endpoints.
 
-    Without weights, endpoints of threefold speed got no more requests than others; by weight alone, large
-    endpoints got too many.
+    Without weights, endpoints of threefold speed would get no more requests than others; by weight alone,
+    large endpoints would get too many.
     """
     gateway = GatewayModel(make_settings(), [make_entry("large", weight=3.0), make_entry("small")])
     gateway.balancer.endpoints.local_pool.limit = 8.0
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -8,7 +8,7 @@
 
 
 def test_a_cancelled_attempt_of_a_request_with_little_time_left_counts_as_a_failure() -> None:
-    """Cancellations before T1 were not counted, so overload hid endpoints that do not respond.
+    """Cancellations before T1 must count; otherwise overload would hide endpoints that do not respond.
 
     Requests that have waited for capacity have less time left than T1.
     """
@@ -28,7 +28,7 @@
 
 
 def test_an_endpoint_in_slow_start_is_slow_without_a_queue() -> None:
-    """Twice the baseline latency counted as queueing, so the zone's limit fell and requests spilled over."""
+    """Twice the baseline latency must not count as queueing, lower the zone's limit and cause spillover."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     serve_sequentially(gateway, 60, 50 * MS)
     # Its speed is at least a third of the full speed.
@@ -41,7 +41,7 @@
 
 
 def test_responses_show_an_endpoint_that_is_slow_at_a_low_reported_load() -> None:
-    """Reports count at the baseline latency, so endpoints slowed tenfold after a start stayed overloaded."""
+    """Reports alone assume the baseline latency, and would leave endpoints slowed tenfold overloaded."""
     gateway = GatewayModel(
         make_settings(load_report_fields=("util", "inflight")), [make_entry("a"), make_entry("b")]
     )
@@ -52,7 +52,7 @@
 
 
 def test_an_attempt_cancelled_early_does_not_count_as_a_failure() -> None:
-    """One in eight is in flight for over twice the mean latency; if cancelled, it counted as a timeout."""
+    """One attempt in eight takes over twice the mean latency; cancelled, it must not count as a timeout."""
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     for _ in range(50):
         serve_sequentially(gateway, 1, 25 * MS)
--- a/tests/balancer/test_load_report.py
+++ b/tests/balancer/test_load_report.py
@@ -8,7 +8,7 @@
 
 
 def test_a_load_report_of_queue_and_service_time_gives_the_delay() -> None:
-    """Reports without the requests in flight were ignored."""
+    """Reports without the requests in flight must not be ignored."""
     settings = make_settings(load_report_fields=("queue", "service_ms"), load_report_inline=True)
     gateway = GatewayModel(settings, [make_entry("busy"), make_entry("idle")])
     for _ in range(30):
@@ -22,7 +22,7 @@
 
 
 def test_load_reports_show_endpoints_that_other_gateways_have_filled() -> None:
-    """40 gateways filled a zone, as each raised its limit after the few responses that it saw itself."""
+    """Otherwise 40 gateways would fill a zone, as each raises its limit after the few responses it sees."""
     zones: dict[EndpointId, int] = {f"h{number}": number % 2 for number in range(60)}
     gateway = GatewayModel(
         make_settings(zones=2, replicas=40, load_report_fields=("util", "inflight")),
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -9,7 +9,7 @@
 
 
 def test_a_request_that_cannot_be_in_time_is_rejected_at_once() -> None:
-    """A third of the work went to requests that had a quarter of the time left that a response takes."""
+    """Otherwise a third of the work would go to requests with a quarter of the time that a response takes."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     serve_sequentially(gateway, 60, 200 * MS)
     request_id = gateway.receive_request(timeout_ns=50 * MS)
@@ -24,7 +24,7 @@
 
 
 def test_a_class_that_is_shed_is_sent_again_as_a_trial() -> None:
-    """A class considered too slow was never sent again, so no response could show that it had become fast."""
+    """Without a trial, no response could show that a class considered too slow has become fast."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     serve_sequentially(gateway, 60, 900 * MS)
     before = len(gateway.attempts)
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -12,9 +12,9 @@
 
 
 def test_an_endpoint_that_rejects_every_attempt_is_ejected() -> None:
-    """An endpoint that hung and rejected every attempt was considered recovered after each one.
+    """An endpoint that hangs and rejects every attempt must not count as recovered after each one.
 
-    Its queue was full, so the rejections came fast.
+    Its queue is full, so the rejections come fast.
     """
     gateway = GatewayModel(make_settings(), [make_entry("good"), make_entry("full")])
     for _ in range(60):
@@ -27,7 +27,7 @@
 
 
 def test_an_unresponsive_endpoint_is_ejected_by_requests_that_may_not_be_retried() -> None:
-    """Non-idempotent attempts last until the deadline; an unresponsive endpoint still got half of them."""
+    """Non-idempotent attempts last until the deadline; an unresponsive endpoint must not get half of them."""
     gateway = GatewayModel(
         make_settings(make_class(Idempotency.NON_IDEMPOTENT)), [make_entry("good"), make_entry("silent")]
     )
@@ -45,8 +45,8 @@
 def test_failures_of_slow_requests_eject_an_endpoint_for_fast_ones_too() -> None:
     """Failures decay no faster for requests with a short T1.
 
-    They decayed by the T1 of the current request, so the class with the shortest latency objective went on
-    sending to unresponsive endpoints.
+    If they decayed by the T1 of the current request, the class with the shortest latency objective would go
+    on sending to unresponsive endpoints.
     """
     fast = make_class(name="fast", latency_objective_ns=100 * MS)
     slow = make_class(name="slow", latency_objective_ns=SECOND, max_timeout_ns=2 * SECOND)
@@ -58,7 +58,7 @@
 
 
 def test_endpoints_that_reject_every_attempt_get_few_attempts() -> None:
-    """Gateways went on sending to a subset that rejected all attempts for overload, so it never recovered."""
+    """A subset that rejects all attempts for overload would not recover if gateways went on sending to it."""
     gateway = GatewayModel(make_settings(), [make_entry("a"), make_entry("b")])
     for _ in range(400):  # 40 seconds
         gateway.receive_request()
@@ -86,7 +86,7 @@
 
 
 def test_an_endpoint_no_longer_ejected_gets_one_attempt_until_one_is_served() -> None:
-    """The endpoint got as many attempts at once as its part of the limit, and all failed if it still hung."""
+    """Otherwise it would get its part of the limit at once, and all those attempts fail if it still hangs."""
     gateway = GatewayModel(make_settings(), make_entries(2))
     serve_sequentially(gateway, 30, 10 * MS)
     gateway.balancer.endpoints.local_pool.limit = 20.0
--- a/tests/balancer/test_package.py
+++ b/tests/balancer/test_package.py
@@ -32,7 +32,7 @@
 
 
 def test_modules_stay_small() -> None:
-    """The modules were split from one of over a thousand lines; a limit stops them from growing back."""
+    """Without a limit on their size, modules would grow back to over a thousand lines."""
     for path in MODULES:
         lines = path.read_text().splitlines()
         assert sum(1 for line in lines if line.strip()) <= MAX_MODULE_LINES, path.name
--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -31,7 +31,7 @@
 def test_bad_request_fails_at_once_and_does_not_count_against_its_endpoint(
     idempotency: Idempotency,
 ) -> None:
-    """Requests with a 400 response were sent to a second endpoint, and both were avoided for seconds."""
+    """A second endpoint would respond 400 too, and both would be avoided for seconds."""
     gateway = GatewayModel(make_settings(make_class(idempotency)), make_entries(4))
     serve_sequentially(gateway, 40, 20 * MS)
     request_id = gateway.receive_request()
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -20,7 +20,7 @@
 
 
 def test_a_retry_with_an_idempotency_key_finds_another_endpoint_of_the_cell() -> None:
-    """Retries drew only from the gateway's subset, which rarely contains the cell's one other endpoint."""
+    """Retries must not draw from the gateway's subset: it rarely contains the cell's one other endpoint."""
     entries = [make_entry(f"h{number}", cell=number // 2) for number in range(60)]
     settings = make_settings(
         make_class(
@@ -42,7 +42,7 @@
 
 
 def test_a_retry_needs_capacity() -> None:
-    """Retries ignored the concurrency limit, so a congested fleet stayed congested."""
+    """Retries beyond the concurrency limit would keep a congested fleet congested."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     request_ids = [gateway.receive_request() for _ in range(4)]
     gateway.end_attempt(request_ids[0], Outcome.RESET)
@@ -56,7 +56,7 @@
 
 
 def test_an_attempt_has_no_timeout_where_its_retry_would_miss_the_objective() -> None:
-    """Long requests timed out without any congestion, and their retries came too late and duplicated work."""
+    """Otherwise long requests would time out without congestion, and late retries would duplicate work."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     request_id = gateway.receive_request()
     assert gateway.attempts[-1].timeout_ns == 300 * MS  # no latency is known yet: T1
--- a/tests/balancer/test_rule_checker.py
+++ b/tests/balancer/test_rule_checker.py
@@ -27,12 +27,12 @@
 
 
 def violated(checker: RuleChecker) -> list[Rule]:
-    """The violated rules, in order."""
+    """Return the violated rules, in order."""
     return [violation.rule for violation in checker.violations]
 
 
 def retry(checker: RuleChecker, endpoint_id: str, outcome: Outcome = Outcome.RESET, now: int = 0) -> None:
-    """Send an attempt to h0, end it with the outcome, and send another attempt."""
+    """Send an attempt to h0, end it with the outcome, and send the next one to `endpoint_id` at `now`."""
     checker.check_attempt(REQUEST_ID, "h0", 0)
     checker.end_attempt(REQUEST_ID, 0, outcome)
     checker.check_attempt(REQUEST_ID, endpoint_id, now)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -13,14 +13,14 @@
 
 
 def replace_list_by_starting_endpoint(gateway: GatewayModel) -> None:
-    """Replaces the endpoint list by a single endpoint that starts now."""
+    """Replace the endpoint list by a single endpoint that starts now."""
     starting = make_entry("starting", started_ns=gateway.now_ns)
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [starting])
 
 
 @pytest.mark.parametrize("zones", [1, 2])
 def test_many_gateways_together_do_not_overload_an_endpoint_in_slow_start(zones: int) -> None:
-    """80 gateways overloaded the only remaining endpoint: each sent one request within an overload window."""
+    """One request from each of 80 gateways within an overload window would overload the only endpoint."""
     rules = Rules(
         slow_start_initial_share=0.3,
         slow_start_window_ns=10 * SECOND,
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("gateways", [2, 8, 20, 30, 200])
 def test_gateways_notified_of_a_start_at_the_same_time_do_not_send_at_once(gateways: int) -> None:
-    """With an initial credit of one attempt, each of 200 gateways sent one, however slow the endpoint was."""
+    """With an initial credit of one attempt, each of 200 gateways would send one, even to a slow endpoint."""
     rules = Rules(
         slow_start_initial_share=0.12,
         slow_start_window_ns=23 * SECOND,
@@ -78,7 +78,7 @@
 
 
 def test_endpoints_without_a_start_time_are_warm_soon_after_time_zero() -> None:
-    """Near the zero of the clock all counted as in slow start, so the next endpoint list raised the limit."""
+    """If all counted as in slow start near time zero, the next endpoint list would raise the limit."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     before = gateway.balancer.endpoints.local_pool.limit
     gateway.run_until(5 * SECOND)
@@ -87,7 +87,7 @@
 
 
 def test_congestion_of_warm_endpoints_leaves_the_slow_start_budget_as_it_is() -> None:
-    """The budget was based on a latency that included queueing, so longer queues elsewhere reduced it."""
+    """If the budget were based on a latency with queueing, longer queues elsewhere would reduce it."""
     sent = []
     for queueing_delay in (0, 280 * MS):
         gateway = GatewayModel(make_settings(), [make_entry("warm")])
@@ -100,7 +100,7 @@
 
 
 def test_an_endpoint_in_slow_start_gets_attempts_by_its_reported_load() -> None:
-    """The budget was a worst-case estimate and remained a fraction of it even while the endpoint was idle."""
+    """A worst-case estimate alone would leave even an idle endpoint a fraction of the budget."""
     sent = []
     for reported_in_flight in (1.0, 3.0, 9.0):
         gateway = GatewayModel(make_settings(load_report_fields=("inflight",)), [make_entry("warm")])
@@ -112,7 +112,7 @@
 
 
 def test_requests_that_spill_over_go_to_endpoints_in_slow_start_too() -> None:
-    """Spillover avoided a zone until its slow start ended, even if the local zone was short of endpoints."""
+    """Spillover must not avoid a zone until its slow start ends: the local zone may be short of endpoints."""
     gateway = GatewayModel(make_settings(zones=2), [make_entry("local"), make_entry("remote", zone=1)])
     serve_all_in_flight(gateway, 100, 20 * MS)
     gateway.update_endpoint_list(
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -19,7 +19,7 @@
 
 
 def to_unix_ms(start: int) -> int:
-    """The true Unix time in ms of a start at a monotonic time."""
+    """Return the true Unix time in ms of a start at a monotonic time."""
     return (UNIX_AT_ZERO + start) // MS
 
 
--- a/tests/balancer/test_tenant_quota.py
+++ b/tests/balancer/test_tenant_quota.py
@@ -35,13 +35,13 @@
 
 
 def rejected_share(gateway: GatewayModel, request_ids: list[int]) -> float:
-    """Share of the requests that were rejected."""
+    """Return the share of the requests that were rejected."""
     responses = [gateway.final_responses.get(request_id) for request_id in request_ids]
     return responses.count(FinalResponse.REJECTED) / len(responses)
 
 
 def test_tenant_within_its_quota_may_send_short_bursts() -> None:
-    """With a largest burst of one request, each pair that coincided by chance counted as over quota."""
+    """With a largest burst of one request, two requests that coincide by chance would count as over quota."""
     tenants = (Tenant("small", quota_per_s=10.0), Tenant("other", quota_per_s=10.0))
     gateway = GatewayModel(
         make_settings(tenants=tenants, over_quota_weight=0.1, replicas=20), make_entries(8)
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -1,4 +1,4 @@
-"""Latency statistics of a traffic class."""
+"""Latency statistics of a request class."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_a_delayed_request_with_a_small_cost_hint_does_not_hide_congestion() -> None:
-    """A request with a hint of 1 us took 50 ms, raised the baseline a thousandfold and hid congestion."""
+    """A latency of 50 ms at a hint of 1 us must not raise the baseline a thousandfold and hide congestion."""
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), make_entries(4))
 
     def serve(cost_hint_ns: int, latency_ns: int) -> None:
@@ -26,7 +26,7 @@
 
 
 def test_responses_that_waited_behind_others_hardly_raise_the_baseline_latency() -> None:
-    """Queueing in a fleet full from the start became the baseline, so limits grew until congestion."""
+    """If queueing in a fleet full from the start became the baseline, limits would grow until congestion."""
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), [make_entry("h")])
     for _ in range(40):
         gateway.balancer.endpoints.local_pool.limit = 9.0
--- a/tests/balancer/test_wait_queue.py
+++ b/tests/balancer/test_wait_queue.py
@@ -8,7 +8,7 @@
 
 
 def test_entries_of_ended_requests_do_not_accumulate_in_the_wait_queue() -> None:
-    """Ended requests stayed in the heap while a request of higher priority was waiting."""
+    """Ended requests must not stay in the heap while a request of higher priority is waiting."""
     gateway = GatewayModel(make_settings())
     for _ in range(3000):
         gateway.receive_request(timeout_ns=20 * MS)
@@ -17,7 +17,7 @@
 
 
 def test_new_requests_do_not_overtake_waiting_ones() -> None:
-    """A new request overtook waiting ones of higher priority, as it got a second random draw for capacity."""
+    """With a second random draw for capacity, a request would overtake waiting ones of higher priority."""
     high = make_class(name="high", priority_weight=9.0)
     low = make_class(name="low", priority_weight=1.0)
     gateway = GatewayModel(make_settings(high, low), make_entries(4))
