--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -41,7 +41,7 @@
 
 
 def test_responses_show_an_endpoint_that_is_slow_at_a_low_reported_load() -> None:
-    """Reports alone assume the baseline latency, and would leave endpoints slowed tenfold overloaded."""
+    """Reports assume the baseline latency: endpoints slowed tenfold after a start would stay overloaded."""
     gateway = GatewayModel(
         make_settings(load_report_fields=("util", "inflight")), [make_entry("a"), make_entry("b")]
     )
--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -86,7 +86,7 @@
 
 
 def test_an_endpoint_no_longer_ejected_gets_one_attempt_until_one_is_served() -> None:
-    """Otherwise it would get its part of the limit at once, and all those attempts fail if it still hangs."""
+    """Otherwise as many attempts as its part of the limit would be sent, and all fail if it still hangs."""
     gateway = GatewayModel(make_settings(), make_entries(2))
     serve_sequentially(gateway, 30, 10 * MS)
     gateway.balancer.endpoints.local_pool.limit = 20.0
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -20,7 +20,7 @@
 
 
 def test_a_retry_with_an_idempotency_key_finds_another_endpoint_of_the_cell() -> None:
-    """Retries must not draw from the gateway's subset: it rarely contains the cell's one other endpoint."""
+    """Retries must not draw only from the gateway's subset: it rarely has the cell's one other endpoint."""
     entries = [make_entry(f"h{number}", cell=number // 2) for number in range(60)]
     settings = make_settings(
         make_class(
