--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -36,7 +36,7 @@
 
 __all__ = ["Balancer"]
 
-IMMUTABLE_SETTINGS = ("zone", "zones", "instance_number", "tick_ns", "poll_discovery", "load_report_fields")
+IMMUTABLE_SETTINGS = ("zone", "zones", "replica_index", "tick_ns", "poll_discovery", "load_report_fields")
 """Settings that can't change while the balancer runs."""
 
 
@@ -88,7 +88,7 @@
     # ---- Settings --------------------------------------------------------------------------------
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
-        """Replace the settings; open requests keep their old class, including its retry rules."""
+        """Replace the settings; open requests keep the class settings with which they arrived."""
         now = self._advance_clock(now_ns)
         for name in IMMUTABLE_SETTINGS:
             if getattr(self.settings, name) != getattr(settings, name):
@@ -133,7 +133,7 @@
         """Handle a delta or snapshot from discovery, or a failed discovery call."""
         now = self._advance_clock(now_ns)
         if kind is UpdateKind.FAILED:
-            self.polling.failed(now)
+            self.polling.handle_failure(now)
             return
         changed = {entry.endpoint_id: self._update_endpoint(entry, now) for entry in entries}
         if kind is not UpdateKind.DELTA:
@@ -151,7 +151,7 @@
         if kind is UpdateKind.CACHED:
             self.polling.start(now)
         else:
-            self.polling.succeeded()
+            self.polling.handle_success()
 
     def _update_endpoint(self, entry: EndpointEntry, now: int) -> Endpoint:
         endpoint = self.endpoints.upsert(entry)
@@ -194,7 +194,7 @@
         self.lifecycle.end_attempt(result, self._advance_clock(now_ns))
 
     def on_client_gone(self, now_ns: int, request_id: int) -> None:
-        """Handle the disconnect of a client, which needs no response any more."""
+        """Handle the disconnect of the client of a request, which then needs no response."""
         self._advance_clock(now_ns)
         self.lifecycle.abandon(request_id)
 
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -72,7 +72,7 @@
         self.first_sent_at = 0
         self.attempts_in_flight: set[int] = set()
         self.is_streaming = False
-        """Whether a streamed response has begun, which binds the request to one attempt, with no deadline."""
+        """Whether a streamed response has begun: the request has no deadline and gets no further attempt."""
         self.is_queued = False
         self.is_done = False
 
@@ -86,7 +86,7 @@
 
 
 class Attempt:
-    """An attempt in flight; it may outlive its request, as its outcome still tells about the endpoint."""
+    """An attempt in flight; it may outlive its request, as its outcome still counts for the endpoint."""
 
     __slots__ = ("endpoint", "has_released_capacity", "is_overdue", "number", "pool", "request")
 
@@ -107,7 +107,7 @@
             self.pool.in_flight -= 1
             self.endpoint.released_in_flight += 1
 
-    def leave_endpoint(self) -> None:
+    def remove_from_counts(self) -> None:
         """Remove the ended attempt from the counts of its endpoint and pool."""
         self.endpoint.in_flight -= 1
         if self.has_released_capacity:
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -96,14 +96,14 @@
             self._send(request, endpoint, now)
 
     def _enqueue(self, request: Request, now: int) -> None:
-        """Queue a request until an ended attempt frees capacity, or until it could hardly be in time."""
+        """Queue a request until there is capacity, for at most `MAX_QUEUE_SHARE` of its latency objective."""
         latest = request.arrived_at + int(MAX_QUEUE_SHARE * request.objective_ns)
         request.wait_ends_at = min(latest, request.deadline - self._settings.tick_ns)
         self._wait_queue.add(request, self._priority(request))
         self._timers.set(request, request.wait_ends_at - now)
 
     def _priority(self, request: Request) -> float:
-        """Priority weight per second of expected work; only the weight where that already grows with work."""
+        """Return the priority weight per second of expected work, or the weight if that grows with work."""
         traffic_class = request.traffic_class
         if self._settings.weight_by_work:
             return traffic_class.priority_weight
@@ -123,7 +123,7 @@
         attempt = self.attempts.pop((result.request_id, result.attempt), None)
         if attempt is None:
             return
-        attempt.leave_endpoint()
+        attempt.remove_from_counts()
         attempt.request.attempts_in_flight.discard(result.attempt)
         outcome = self._feedback.record_outcome(attempt, result, now)
         self._handle_outcome(attempt, outcome, result.is_final, now)
@@ -202,7 +202,7 @@
         if not is_repeatable and request.first_endpoint is not None:
             self._fail_or_reject(request, EndReason.NOT_RETRYABLE)
             return
-        self._schedule_retry(request, request.last_sent_at + self._retries.next_gap(request), now)
+        self._schedule_retry(request, request.last_sent_at + self._retries.start_gap(request), now)
 
     # ---- Retries ---------------------------------------------------------------------------------
 
@@ -237,9 +237,9 @@
         if endpoint is not None:
             self._send(request, endpoint, now)
         else:
-            self._schedule_retry(request, now + self._retries.next_gap(request), now)
+            self._schedule_retry(request, now + self._retries.start_gap(request), now)
 
-    # ---- The end ---------------------------------------------------------------------------------
+    # ---- Final responses -------------------------------------------------------------------------
 
     def abandon(self, request_id: int) -> None:
         """Drop a request whose client has disconnected, and cancel its attempts."""
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,6 +1,7 @@
 """Settings of a balancer, validated on construction.
 
-An invalid value raises ValueError with the name of its field.
+An invalid value raises ValueError with the name of its field. The message names `score_weights` and
+`penalties` by their keys, `goal` and `prices`.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 def _require_share(owner: str, **values: float) -> None:
     for name, value in values.items():
         if not 0 <= value <= 1:
-            raise ValueError(f"{owner}.{name} must lie between 0 and 1, not {value!r}")
+            raise ValueError(f"{owner}.{name} must be between 0 and 1, not {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +39,8 @@
     name: str
     latency_objective_ns: int
     """Latency up to which a response has its full weight."""
-    deadline_ns: int
-    """Longest timeout that clients set for this class."""
+    max_timeout_ns: int
+    """Maximum timeout that clients set for this class."""
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
@@ -54,7 +55,9 @@
 
     def __post_init__(self) -> None:
         owner = f"class {self.name!r}"
-        _require_positive(owner, latency_objective_ns=self.latency_objective_ns, deadline_ns=self.deadline_ns)
+        _require_positive(
+            owner, latency_objective_ns=self.latency_objective_ns, max_timeout_ns=self.max_timeout_ns
+        )
         _require_non_negative(
             owner,
             priority_weight=self.priority_weight,
@@ -71,7 +74,7 @@
 
     name: str
     quota_per_s: float = 0.0
-    """Requests per second over all gateways that have their full weight; 0 for no quota."""
+    """Requests per second with full weight, over all gateways; 0 for no quota."""
     traffic_share: float = 0.0
     """Share of all traffic that comes from this tenant; 0 if unknown."""
 
@@ -100,9 +103,9 @@
     """Time after which endpoints close an idle connection; 0 if unknown."""
     streams_per_connection: int = 1
     max_open_requests: int = 0
-    """Open requests of a gateway, which rejects any further ones before its balancer; 0 for no limit."""
+    """Maximum number of open requests; the gateway rejects more without its balancer. 0 for no limit."""
     cpu_us_per_s: float = 0.0
-    """Microseconds of CPU time per second; 0 if unknown."""
+    """CPU time available to a gateway, in microseconds per second; 0 if unknown."""
     cpu_us_per_request: float = 0.0
 
     def __post_init__(self) -> None:
@@ -152,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreWeights:
-    """Weights of the components of the operators' score; all 0 if unknown."""
+    """Weights of the components of the operators' score, 0 if unknown, and the parameter `top_nines`."""
 
     overall: float = 0.0
     worst_window: float = 0.0
@@ -217,8 +220,8 @@
     rules: Rules = field(default_factory=Rules)
     penalties: ScorePenalties = field(default_factory=ScorePenalties)
     score_weights: ScoreWeights = field(default_factory=ScoreWeights)
-    instance_number: int = 0
-    """Index of this gateway among its replicas, from 0."""
+    replica_index: int = 0
+    """Index of this gateway among the replicas, from 0."""
     replicas: int = 1
     tick_ns: int = MS
     """Resolution of the timers."""
@@ -233,18 +236,18 @@
     """Whether an endpoint serves a routing key faster if it has served that key before."""
     weight_by_work: bool = False
     """Whether a request's priority weight grows with its work."""
-    weights: str = "off"
+    weight_mode: str = "off"
     """Meaning of endpoint weights, one of `WEIGHT_MODES`; with "off" each weight is 1."""
     machine_types: int = 0
     clients_mark_retries: bool = False
 
     def __post_init__(self) -> None:
-        if self.weights not in WEIGHT_MODES:
+        if self.weight_mode not in WEIGHT_MODES:
             raise ValueError(
-                f"settings.weights must be one of {', '.join(WEIGHT_MODES)}, not {self.weights!r}"
+                f"settings.weight_mode must be one of {', '.join(WEIGHT_MODES)}, not {self.weight_mode!r}"
             )
         _require_non_negative(
-            "settings", instance_number=self.instance_number, over_quota_weight=self.over_quota_weight
+            "settings", replica_index=self.replica_index, over_quota_weight=self.over_quota_weight
         )
         _require_positive("settings", zones=self.zones, replicas=self.replicas, tick_ns=self.tick_ns)
         if not 0 <= self.zone < self.zones:
