--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,4 +1,4 @@
-"""Scale experiments: a synthetic fleet, mock discovery and endpoint servers, and headless gateways.
+"""Scale experiments: a synthetic fleet, fake discovery and endpoint servers, and headless gateways.
 
 This package imports `gateway` and `balancer`, never the reverse; the measured code is the project's own.
 """
--- a/scale/backend.py
+++ b/scale/backend.py
@@ -1,4 +1,4 @@
-"""Mock endpoints: one process that responds at the addresses of all endpoints of a fleet.
+"""Fake endpoints: one process that responds at the addresses of all endpoints of a fleet.
 
 `python -m scale.backend LISTENERS` listens on that many addresses of 127.0.0.0/8, writes them to standard
 output as one JSON list of `host:port`, and exits when its standard input ends.
@@ -21,7 +21,7 @@
 import httptools
 import uvloop
 
-__all__ = ["Backend", "UnknownColumnError", "listener_address"]
+__all__ = ["FakeEndpoints", "UnknownColumnError", "listener_address"]
 
 FULL_UTILIZATION_IN_FLIGHT = 16
 """Requests in flight at which an endpoint reports a utilization of 1."""
@@ -34,7 +34,7 @@
 
 
 class UnknownColumnError(ValueError):
-    """A load report has a column that the mock endpoints do not support."""
+    """A load report has a column that the fake endpoints do not support."""
 
 
 def listener_address(number: int) -> str:
@@ -42,8 +42,8 @@
     return f"127.64.{number // 254}.{number % 254 + 1}"
 
 
-class Backend:
-    """Mock endpoints that respond as the gateway's protocol requires of endpoints.
+class FakeEndpoints:
+    """Fake endpoints that respond as the gateway's protocol requires of endpoints.
 
     Service times are exponential with a mean of `mean_s` seconds; each depends only on the seed and the id of
     the request.  `columns` are the columns of the load report in the settings; without any, responses carry
@@ -59,7 +59,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def start(self, listeners: int) -> list[str]:
-        """Start so many listeners; return their addresses, `host:port`."""
+        """Start `listeners` listeners; return their addresses, `host:port`."""
         loop = asyncio.get_running_loop()
         addresses = []
         for number in range(listeners):
@@ -102,8 +102,8 @@
 class _Connection(asyncio.Protocol):
     """A connection from a gateway; it carries one request at a time."""
 
-    def __init__(self, backend: Backend, endpoint: _Endpoint) -> None:
-        self._backend = backend
+    def __init__(self, fake_endpoints: FakeEndpoints, endpoint: _Endpoint) -> None:
+        self._fake_endpoints = fake_endpoints
         self._endpoint = endpoint
         self._parser = httptools.HttpRequestParser(self)
         self._request_id = b""
@@ -137,7 +137,7 @@
             return
         self._endpoint.in_flight += 1
         self._service_timer = asyncio.get_running_loop().call_later(
-            self._backend.service_time_s(self._request_id),
+            self._fake_endpoints.service_time_s(self._request_id),
             self._finish,
             self._request_id,
             time.monotonic_ns(),
@@ -147,14 +147,14 @@
         self._service_timer = None
         self._endpoint.in_flight -= 1
         elapsed_ns = time.monotonic_ns() - started_ns
-        self._transport.write(self._backend.response(request_id, elapsed_ns, self._endpoint.in_flight))
+        self._transport.write(self._fake_endpoints.response(request_id, elapsed_ns, self._endpoint.in_flight))
 
     def _reject(self, status: bytes) -> None:
         self._transport.write(b"HTTP/1.1 %b\r\nContent-Length: 0\r\nConnection: close\r\n\r\n" % status)
         self._transport.close()
 
 
-async def _serve(backend: Backend, listeners: int) -> None:
+async def _serve(fake_endpoints: FakeEndpoints, listeners: int) -> None:
     input_ended = asyncio.Event()
 
     def read_input() -> None:
@@ -162,10 +162,10 @@
             input_ended.set()
 
     asyncio.get_running_loop().add_reader(sys.stdin, read_input)
-    print(json.dumps(await backend.start(listeners)), flush=True)
+    print(json.dumps(await fake_endpoints.start(listeners)), flush=True)
     await input_ended.wait()
     asyncio.get_running_loop().remove_reader(sys.stdin)
-    backend.close()
+    fake_endpoints.close()
 
 
 @click.command()
@@ -175,7 +175,7 @@
 @click.option("--column", "columns", multiple=True, type=click.Choice(sorted(COLUMN_VALUES)))
 def main(listeners: int, seed: int, mean_ms: float, columns: tuple[str, ...]) -> None:
     """Serve requests at the addresses of LISTENERS endpoints until standard input ends."""
-    uvloop.run(_serve(Backend(seed, mean_ms / 1e3, columns), listeners))
+    uvloop.run(_serve(FakeEndpoints(seed, mean_ms / 1e3, columns), listeners))
 
 
 if __name__ == "__main__":
--- a/scale/cold_start/gateway.py
+++ b/scale/cold_start/gateway.py
@@ -101,11 +101,11 @@
         on_end = partial(self._on_attempt_end, self._balancer, request_id, attempt)
         self._network.send(endpoint_id, timeout_ns, on_end)
 
-    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - parameter of the interface
+    def fail(self, request_id: int, reason: EndReason) -> None:  # noqa: ARG002 - required by the interface
         """Remove a failed request from the open requests."""
         self._attempts_sent.pop(request_id, None)
 
-    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - interface
+    def reject(self, request_id: int, retry_after_ns: int, reason: EndReason) -> None:  # noqa: ARG002 - required by the interface
         """Remove a rejected request from the open requests."""
         self._attempts_sent.pop(request_id, None)
 
--- a/scale/demo.py
+++ b/scale/demo.py
@@ -1,6 +1,6 @@
-"""`python -m scale.demo`: sends one request through a real gateway process to a mock endpoint.
+"""`python -m scale.demo`: sends one request through a real gateway process to a fake endpoint.
 
-The mock discovery server and the only endpoint run in this process.  The gateway runs in a process of its
+The fake discovery server and the only endpoint run in this process.  The gateway runs in a process of its
 own, started by the `run` command of deploy/balancer.toml.  All of them listen on free loopback ports and end
 with the demo.
 """
@@ -18,10 +18,10 @@
 from pathlib import Path
 
 from scale import ROOT
-from scale.backend import Backend
+from scale.backend import FakeEndpoints
 from scale.fleet import Fleet, make_configuration
 from scale.gateway_process import deployed_command
-from scale.registry import Registry
+from scale.registry import FakeDiscoveryServer
 
 RESPONSE_TIMEOUT_S = 14.0
 """Maximum time until the response, seconds; including the shutdown the demo takes less than 20."""
@@ -50,9 +50,9 @@
     """The request was not served with status 200, or the gateway ended early."""
 
 
-def write_config(path: Path, registry: Registry, fleet: Fleet) -> dict[str, str]:
-    """Write the gateway's configuration file; return the environment variables that select it."""
-    configuration = make_configuration(fleet, gateways=1, discovery=registry.address)
+def write_config(path: Path, discovery: FakeDiscoveryServer, fleet: Fleet) -> dict[str, str]:
+    """Write the gateway's configuration file; return the gateway's environment variables."""
+    configuration = make_configuration(fleet, gateways=1, discovery=discovery.address)
     for request_class in configuration["settings"]["request-classes"]:
         request_class["give-up-ns"] = REQUEST_TIMEOUT_MS * 1_000_000
     path.write_text(json.dumps(configuration))
@@ -140,20 +140,20 @@
 
 async def run_demo() -> None:
     """Start all servers, send and print one request, stop all servers.  Raises DemoError or OSError."""
-    backend = Backend(seed=1, mean_s=0.01, columns=("utilization", "outstanding"))
-    addresses = await backend.start(1)
+    fake_endpoints = FakeEndpoints(seed=1, mean_s=0.01, columns=("utilization", "outstanding"))
+    addresses = await fake_endpoints.start(1)
     try:
         fleet = Fleet(1, 1, 1, lambda number: addresses[number % len(addresses)])
-        registry = await Registry(fleet.rows.values()).start()
+        discovery = await FakeDiscoveryServer(fleet.rows.values()).start()
         try:
             with tempfile.TemporaryDirectory() as directory:
-                environment = write_config(Path(directory) / "config.json", registry, fleet)
+                environment = write_config(Path(directory) / "config.json", discovery, fleet)
                 async with running_gateway(environment) as process, asyncio.timeout(RESPONSE_TIMEOUT_S):
                     await show_request(process)
         finally:
-            await registry.close()
+            await discovery.close()
     finally:
-        backend.close()
+        fake_endpoints.close()
 
 
 def main() -> int:
--- a/scale/experiments/endpoints.py
+++ b/scale/experiments/endpoints.py
@@ -8,12 +8,12 @@
 
 from ..fleet import EndpointRow, Fleet, make_configuration
 from ..headless_pool import WorkerPool
-from ..registry import Capacity, Registry
+from ..registry import Capacity, FakeDiscoveryServer
 
 __all__ = ["SIZES", "run"]
 
 SIZES = (75, 250, 750, 2500, 7500)
-UNLIMITED = Capacity(calls_per_s=10_000.0, lines_per_call=1e9)
+UNLIMITED = Capacity(calls_per_s=10_000.0, entries_per_unit=1e9)
 """Capacity at which discovery queues no calls, as queueing is not measured here."""
 ENDPOINTS_PER_GATEWAY = 10
 """Ratio of endpoints to gateways in the fleet that the gateway is designed for."""
@@ -22,30 +22,30 @@
 async def run(size: int, seed: int, zones: int = 3, gateways: int = 0, changes: int = 5) -> dict[str, float]:
     """Measure a snapshot, single changes and the loss of a zone with `size` endpoints and one gateway.
 
-    The gateway is headless, runs in a process of its own and is one of `gateways` replicas, or of one for
-    every ten endpoints if that is 0; it draws from its subset of the endpoints.
+    The gateway is headless and runs in a process of its own.  Its settings state `gateways` replicas (0: one
+    for every ten endpoints), so it uses only its subset of the endpoints.
 
     Times in ms are CPU time of that process, except the longest event loop stall (`hold_ms`) and the time
-    until an update is in force, which are wall-clock times.  The figures of a change are means over
-    `changes`; its `hold_ms` is the maximum.
+    until an update is applied (`in_force_ms`), which are wall-clock times.  The figures of a change are means
+    over `changes`; its `hold_ms` is the maximum.
     """
     fleet = Fleet(size, zones, seed)
-    registry = await Registry(fleet.rows.values(), UNLIMITED, generation=100).start()
+    discovery = await FakeDiscoveryServer(fleet.rows.values(), UNLIMITED, generation=100).start()
     try:
         async with WorkerPool() as pool:
             replicas = gateways or max(1, size // ENDPOINTS_PER_GATEWAY)
-            configuration = make_configuration(fleet, replicas, discovery=registry.address, pushed=True)
+            configuration = make_configuration(fleet, replicas, discovery=discovery.address, pushed=True)
             configuration["known"] = {"generation": 0, "reset": True, "instances": []}
             await pool.launch(configuration, 1)
             figures = {"start_rss_mb": (await pool.read_and_reset_figures())["rss_mb"]}
-            begun_ns = await pool.start()
-            figures |= await _update_figures(pool, registry, "list", begun_ns, 0)
+            started_ns = await pool.start()
+            figures |= await _update_figures(pool, discovery, "list", started_ns, 0)
             figures |= _summarize_changes(
-                [await _publish(pool, registry, "change", fleet.drain(1)) for _ in range(changes)]
+                [await _publish(pool, discovery, "change", fleet.drain(1)) for _ in range(changes)]
             )
-            return figures | await _publish(pool, registry, "zone", fleet.lose_zone(fleet.zones[-1]))
+            return figures | await _publish(pool, discovery, "zone", fleet.lose_zone(fleet.zones[-1]))
     finally:
-        await registry.close()
+        await discovery.close()
 
 
 def _summarize_changes(changes: list[dict[str, float]]) -> dict[str, float]:
@@ -59,25 +59,25 @@
 
 
 async def _publish(
-    pool: WorkerPool, registry: Registry, name: str, changed: list[EndpointRow]
+    pool: WorkerPool, discovery: FakeDiscoveryServer, name: str, changed: list[EndpointRow]
 ) -> dict[str, float]:
     """Publish a change and return its figures; `name` is the prefix of their names."""
-    bytes_before, begun_ns = registry.counts.update_bytes(), monotonic_ns()
-    registry.publish(changed)
-    return await _update_figures(pool, registry, name, begun_ns, bytes_before)
+    bytes_before, started_ns = discovery.counts.update_bytes(), monotonic_ns()
+    discovery.publish(changed)
+    return await _update_figures(pool, discovery, name, started_ns, bytes_before)
 
 
 async def _update_figures(
-    pool: WorkerPool, registry: Registry, name: str, begun_ns: int, bytes_before: int
+    pool: WorkerPool, discovery: FakeDiscoveryServer, name: str, started_ns: int, bytes_before: int
 ) -> dict[str, float]:
-    [in_force_ns] = await pool.in_force_ns(registry.generation)
+    [applied_at_ns] = await pool.wait_until_applied(discovery.generation)
     figures = await pool.read_and_reset_figures()
     return {
         f"{name}_parse_ms": figures["parse_ms"],
         f"{name}_sockets_ms": figures["sockets_ms"],
         f"{name}_module_ms": figures["module_ms"],
         f"{name}_hold_ms": figures["hold_ms"],
-        f"{name}_in_force_ms": (in_force_ns - begun_ns) / MS,
+        f"{name}_in_force_ms": (applied_at_ns - started_ns) / MS,
         f"{name}_rss_mb": figures["rss_mb"],
-        f"{name}_bytes": registry.counts.update_bytes() - bytes_before,
+        f"{name}_bytes": discovery.counts.update_bytes() - bytes_before,
     }
--- a/scale/experiments/latency.py
+++ b/scale/experiments/latency.py
@@ -1,13 +1,13 @@
 """Experiment `latency`: latency that endpoint list changes add to requests through one real gateway.
 
-Requests arrive as an open workload.  A run has three phases: one without changes, which is the baseline, one
-at the rate of changes of a quiet hour and one at that of a bad hour.  A phase has four processes: this one
-with discovery and the changes, the gateway as the `run` of deploy/balancer.toml starts it, the endpoints and
-the clients.  The time that the gateway adds to a request is the time that the client measures from the due
-time, less the time that the endpoint reports; it includes the jitter of clients and endpoints (their timers
-have a resolution of milliseconds) and of the network, which the baseline shows alone.  Endpoints keep
-listening after their removal from the list, so that the figures contain only the cost of the changes and not
-that of lost endpoints.
+Requests arrive as an open workload.  A run has three phases: without changes (the baseline), at the rate of
+changes of an average day, and at that of an hour in which a zone is lost and restored during a rolling
+replacement.  A phase has four processes: this one with discovery and the changes, the gateway as the `run` of
+deploy/balancer.toml starts it, the endpoints and the clients.  The time that the gateway adds to a request is
+the time that the client measures from the due time, less the time that the endpoint reports; it includes the
+jitter of clients and endpoints (their timers have a resolution of milliseconds) and of the network, which the
+baseline shows alone.  Endpoints keep listening after their removal from the list, so that the figures contain
+only the cost of the changes and not that of lost endpoints.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from ..fleet import EndpointRow, Fleet, make_configuration
 from ..gateway_process import GatewayProcess, deployed_command
 from ..load import Sample, histogram
-from ..registry import Registry
+from ..registry import FakeDiscoveryServer
 from ..wait import wait_until
 
 __all__ = ["SIZES", "ChangeKind", "ListChange", "plan_changes", "run", "run_phase", "summarize"]
 
 ZONES = 11
 MAX_LISTENERS = 256
-"""Most addresses that the endpoints share, as each listener takes a file descriptor."""
+"""Maximum number of listening addresses; larger fleets share them, as each takes a file descriptor."""
 REFERENCE_SIZE = 7500
 """Fleet size for which the rates of changes are given; the rates are proportional to the size."""
 SIZES = (75, 750, 2_500, REFERENCE_SIZE)
@@ -82,7 +82,7 @@
     return sorted(plan, key=lambda change: change.due_s)
 
 
-async def _publish_changes(plan: Sequence[ListChange], fleet: Fleet, registry: Registry) -> None:
+async def _publish_changes(plan: Sequence[ListChange], fleet: Fleet, discovery: FakeDiscoveryServer) -> None:
     """Publish the changes of the plan when they are due; the zone that is lost is the last of the fleet."""
     clock = asyncio.get_running_loop().time
     start_s = clock()
@@ -93,12 +93,12 @@
         if kind is ChangeKind.ROW:
             if not pending:
                 pending.extend(fleet.replace(1))
-            registry.publish([pending.popleft()])
+            discovery.publish([pending.popleft()])
             continue
         while pending:  # otherwise an endpoint of the zone might be published after its loss
-            registry.publish([pending.popleft()])
+            discovery.publish([pending.popleft()])
         changed = fleet.lose_zone(zone) if kind is ChangeKind.LOSE_ZONE else fleet.restore_zone(zone)
-        registry.publish(changed)
+        discovery.publish(changed)
 
 
 async def run_phase(
@@ -115,29 +115,29 @@
     listeners = str(min(size, MAX_LISTENERS))
     async with module_process(
         "scale.backend", listeners, "--seed", str(seed), "--mean-ms", str(mean_ms), *columns
-    ) as backend:
-        addresses: list[str] = await read_json_line(backend)
+    ) as fake_endpoints:
+        addresses: list[str] = await read_json_line(fake_endpoints)
         fleet = Fleet(size, ZONES, seed, lambda number: addresses[number % len(addresses)])
-        registry = await Registry(fleet.rows.values()).start()
+        discovery = await FakeDiscoveryServer(fleet.rows.values()).start()
         try:
-            configuration = make_configuration(fleet, gateways=1, discovery=registry.address)
+            configuration = make_configuration(fleet, gateways=1, discovery=discovery.address)
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "config.json"
                 path.write_text(json.dumps(configuration))
                 gateway = GatewayProcess(deployed_command(), path)
                 try:
                     await gateway.start()
-                    await wait_until(lambda: registry.watch_count > 0, WATCH_TIMEOUT_S)
+                    await wait_until(lambda: discovery.watch_count > 0, WATCH_TIMEOUT_S)
                     arguments = _load_arguments(gateway.address, configuration, rate, seconds, seed)
                     async with module_process("scale.load", *arguments) as load:
-                        result = await _measure(gateway.psutil_process, load, plan, fleet, registry)
+                        result = await _measure(gateway.psutil_process, load, plan, fleet, discovery)
                     if gateway.returncode is not None:
                         raise RuntimeError(f"the gateway has ended with exit code {gateway.returncode}")
                 finally:
                     await gateway.kill()
                 return result
         finally:
-            await registry.close()
+            await discovery.close()
 
 
 def _load_arguments(
@@ -162,15 +162,15 @@
     load: asyncio.subprocess.Process,
     plan: Sequence[ListChange],
     fleet: Fleet,
-    registry: Registry,
+    discovery: FakeDiscoveryServer,
 ) -> tuple[list[Sample], dict[str, float]]:
     """Return the samples of a load that is about to begin and what it cost the gateway and discovery."""
     assert load.stdout is not None
     await load.stdout.readline()
-    counts = registry.counts
-    bytes_before, generation_before = counts.bytes_written, registry.generation
+    counts = discovery.counts
+    bytes_before, generation_before = counts.bytes_written, discovery.generation
     cpu_times_before = gateway.cpu_times()
-    publishing = asyncio.create_task(_publish_changes(plan, fleet, registry))
+    publishing = asyncio.create_task(_publish_changes(plan, fleet, discovery))
     samples = [Sample(*row) for row in await read_json_line(load)]
     await publishing
     cpu_times = gateway.cpu_times()
@@ -178,7 +178,7 @@
         "cpu_s": cpu_times.user + cpu_times.system - cpu_times_before.user - cpu_times_before.system,
         "rss_mb": gateway.memory_info().rss / MIB,
         "registry_bytes": counts.bytes_written - bytes_before,
-        "list_changes": registry.generation - generation_before,
+        "list_changes": discovery.generation - generation_before,
     }
 
 
--- a/scale/experiments/settings.py
+++ b/scale/experiments/settings.py
@@ -19,22 +19,22 @@
 from ..child_process import module_process, read_json_line
 from ..fleet import Fleet, make_configuration
 from ..gateway_process import MODULE_COMMAND, GatewayProcess
-from ..registry import Capacity, Registry
+from ..registry import Capacity, FakeDiscoveryServer
 from ..wait import wait_until
 
 __all__ = ["SIZES", "run"]
 
 SIZES = (500, 5_000, 15_000, 50_000)
-UNLIMITED = Capacity(calls_per_s=10_000.0, lines_per_call=1e9)
+UNLIMITED = Capacity(calls_per_s=10_000.0, entries_per_unit=1e9)
 """Capacity at which discovery queues no calls, as queueing is not measured here."""
-IN_FORCE_TIMEOUT_NS = 5 * SECOND
-"""Longest time within which a change must be in force."""
+RELOAD_TIMEOUT_NS = 5 * SECOND
+"""Maximum time within which the gateway must apply a change."""
 QUIET_TIME_NS = SECOND // 2
 """How long health checks are measured before SIGHUP is sent."""
 TIMEOUT_S = 60.0
 """Longest wait for a response of the gateway, for its readiness or for its watch."""
 POLL_INTERVAL_S = 0.005
-"""Interval between two requests that poll whether a change is in force."""
+"""Interval between two requests that poll whether the gateway has applied a change or is ready."""
 HEALTH_CHECK_INTERVAL_S = 0.002
 UNUSED_ADDRESS = "127.0.0.1:9"
 """Address at which no endpoint listens, so that requests are not served."""
@@ -58,13 +58,13 @@
     the program to its first ready response, and until discovery has sent it the list.
     """
     fleet = Fleet(hosts, 3, seed, lambda _: UNUSED_ADDRESS)
-    first_registry, second_registry = [
-        await Registry(fleet.rows.values(), UNLIMITED).start() for _ in range(2)
+    first_discovery, second_discovery = [
+        await FakeDiscoveryServer(fleet.rows.values(), UNLIMITED).start() for _ in range(2)
     ]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         configuration = make_configuration(
-            fleet, 20, discovery=first_registry.address, tenants=size, pushed=True
+            fleet, 20, discovery=first_discovery.address, tenants=size, pushed=True
         )
         path.write_text(json.dumps(configuration))
         gateway = GatewayProcess(MODULE_COMMAND, path)
@@ -72,18 +72,18 @@
             async with module_process("scale.parsing", str(path)) as parsing:
                 figures: dict[str, float] = await asyncio.wait_for(read_json_line(parsing), TIMEOUT_S)
             await gateway.start()
-            await wait_until(lambda: first_registry.watch_count > 0, TIMEOUT_S)
+            await wait_until(lambda: first_discovery.watch_count > 0, TIMEOUT_S)
             if not await _accepts_tenant(gateway, KNOWN_TENANT):
                 raise RuntimeError("the gateway rejects a tenant that its settings contain")
             _add_tenant(configuration)
-            path.write_text(json.dumps({**configuration, "discovery": second_registry.address}))
+            path.write_text(json.dumps({**configuration, "discovery": second_discovery.address}))
             figures |= await _reload(gateway)
-            await wait_until(lambda: second_registry.watch_count > 0, TIMEOUT_S)
-            return figures | await _restart(gateway, second_registry)
+            await wait_until(lambda: second_discovery.watch_count > 0, TIMEOUT_S)
+            return figures | await _restart(gateway, second_discovery)
         finally:
             await gateway.kill()
-            await first_registry.close()
-            await second_registry.close()
+            await first_discovery.close()
+            await second_discovery.close()
 
 
 def _add_tenant(configuration: dict[str, Any]) -> None:
@@ -97,18 +97,18 @@
     quiet_ms = await _longest_health_check_ms(gateway, lambda: monotonic_ns() >= quiet_until_ns)
     rss_before_bytes, cpu_before_s = process.memory_info().rss, sum(process.cpu_times()[:2])
     reload_done = asyncio.Event()
-    begun_ns = monotonic_ns()
+    started_ns = monotonic_ns()
     gateway.signal(signal.SIGHUP)
     checks = asyncio.create_task(_longest_health_check_ms(gateway, reload_done.is_set))
-    in_force, elapsed_ns = False, 0
-    while not in_force and elapsed_ns < IN_FORCE_TIMEOUT_NS:
-        in_force = await _accepts_tenant(gateway, NEW_TENANT)
-        elapsed_ns = monotonic_ns() - begun_ns
+    is_applied, elapsed_ns = False, 0
+    while not is_applied and elapsed_ns < RELOAD_TIMEOUT_NS:
+        is_applied = await _accepts_tenant(gateway, NEW_TENANT)
+        elapsed_ns = monotonic_ns() - started_ns
         await asyncio.sleep(POLL_INTERVAL_S)
     reload_done.set()
     longest_ms = await checks
     return {
-        "sighup_in_force_share": float(in_force),
+        "sighup_in_force_share": float(is_applied),
         "sighup_in_force_s": elapsed_ns / SECOND,
         "sighup_hold_ms": longest_ms,
         "quiet_hold_ms": quiet_ms,
@@ -117,17 +117,17 @@
     }
 
 
-async def _restart(gateway: GatewayProcess, registry: Registry) -> dict[str, float]:
+async def _restart(gateway: GatewayProcess, discovery: FakeDiscoveryServer) -> dict[str, float]:
     """Kill and restart the gateway; return the time until it is ready and until it has the endpoint list."""
     await gateway.kill()
-    begun_ns = monotonic_ns()
+    started_ns = monotonic_ns()
     await gateway.start()
     async with asyncio.timeout(TIMEOUT_S):
         while await _get_status(gateway, "/health/ready") != 200:  # noqa: ASYNC110 - only polling shows it
             await asyncio.sleep(POLL_INTERVAL_S)
-    ready_ns = monotonic_ns() - begun_ns
-    await wait_until(lambda: registry.watch_count > 0, TIMEOUT_S)
-    listed_ns = min(registry.written_ns(registry.generation)) - begun_ns
+    ready_ns = monotonic_ns() - started_ns
+    await wait_until(lambda: discovery.watch_count > 0, TIMEOUT_S)
+    listed_ns = min(discovery.written_ns(discovery.generation)) - started_ns
     return {
         "restart_ready_s": ready_ns / SECOND,
         "restart_told_s": listed_ns / SECOND,
@@ -160,11 +160,11 @@
     longest_ns = 0
     try:
         while True:
-            begun_ns = monotonic_ns()
+            started_ns = monotonic_ns()
             writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
             await reader.readexactly(_content_length(head))
-            longest_ns = max(longest_ns, monotonic_ns() - begun_ns)
+            longest_ns = max(longest_ns, monotonic_ns() - started_ns)
             if is_done():
                 return longest_ns / MS
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -121,13 +121,13 @@
         return self._random.sample(ready, min(count, len(ready)))
 
     def replace(self, count: int) -> list[EndpointRow]:
-        """Remove so many ready endpoints and start as many new ones in the same zones."""
+        """Replace `count` ready endpoints by new ones in the same zones."""
         old = self._sample_ready(count)
         gone = self._remove(old)
         return gone + [self._add(row["zone"], self._now_ms()) for row in old]
 
     def drain(self, count: int) -> list[EndpointRow]:
-        """Start to drain so many ready endpoints."""
+        """Start to drain `count` ready endpoints."""
         changed = [_with_lifecycle(row, "terminating") for row in self._sample_ready(count)]
         self.rows.update((row["instanceId"], row) for row in changed)
         return changed
@@ -233,7 +233,7 @@
     memory_mb: int = 2048,
     **settings: Any,
 ) -> dict[str, Any]:
-    """Return the content of a gateway's EDGE_CONFIG, with the current endpoint list as the cached list.
+    """Return the content of a gateway's configuration file; the cached list is the current endpoint list.
 
     `settings` are further arguments of `make_settings`.
     """
--- a/scale/headless.py
+++ b/scale/headless.py
@@ -117,7 +117,7 @@
         """Number of failed discovery calls, as the gateway counts them."""
         self._cached_list = cached_list
         self._list_applied = list_applied
-        self._in_force_ns: list[tuple[int, int]] = []  # each generation, and when it was applied
+        self._applied_at_ns: list[tuple[int, int]] = []  # each generation, and when it was applied
         self._timers = Timers(loop)
         self._dispatcher = Dispatcher(settings, seed, self._timers, (), self._make_balancer)
         self._upstream = _TimedUpstream(
@@ -150,7 +150,7 @@
         if kind is UpdateKind.FAILED:
             self.failed_calls += 1
         elif kind is not UpdateKind.CACHED:
-            self._in_force_ns.append((self._discovery.generation, monotonic_ns()))
+            self._applied_at_ns.append((self._discovery.generation, monotonic_ns()))
             self._list_applied.set()
 
     def start(self) -> None:
@@ -165,9 +165,9 @@
         self._discovery.sweep(now_ns())
         self._timers.call_after(SWEEP_INTERVAL_NS, self._sweep, None)
 
-    def in_force_ns(self, generation: int) -> int | None:
+    def applied_at_ns(self, generation: int) -> int | None:
         """Return when (monotonic, ns) this generation or a later one was applied; None if it is not yet."""
         return next(
-            (at_ns for applied_generation, at_ns in self._in_force_ns if applied_generation >= generation),
+            (at_ns for applied_generation, at_ns in self._applied_at_ns if applied_generation >= generation),
             None,
         )
--- a/scale/headless_pool.py
+++ b/scale/headless_pool.py
@@ -33,7 +33,7 @@
         self._directory.cleanup()
 
     async def launch(self, configuration: dict[str, Any], gateways: int, processes: int = 1) -> None:
-        """Create so many gateways in so many processes, and wait until all can be started."""
+        """Create `gateways` gateways in up to `processes` processes, and wait until all can be started."""
         path = Path(self._directory.name) / "config.json"
         path.write_text(json.dumps(configuration))
         for first in range(min(processes, gateways)):
@@ -58,7 +58,7 @@
         started_ns: list[int] = [response["begun_ns"] for response in await self._send_command("start")]
         return min(started_ns)
 
-    async def in_force_ns(self, generation: int) -> list[int]:
+    async def wait_until_applied(self, generation: int) -> list[int]:
         """Wait until every gateway has applied this generation; return when (monotonic, ns) each did."""
         responses = await self._send_command("await", generation=generation)
         return [at_ns for response in responses for at_ns in response["in_force_ns"]]
--- a/scale/headless_worker.py
+++ b/scale/headless_worker.py
@@ -74,10 +74,10 @@
     async def _await_generation(self, command: dict[str, Any]) -> dict[str, Any]:
         """Wait until every gateway has applied a generation; return when each did."""
         generation = command["generation"]
-        while any(gateway.in_force_ns(generation) is None for gateway in self._gateways):
+        while any(gateway.applied_at_ns(generation) is None for gateway in self._gateways):
             self._list_applied.clear()
             await self._list_applied.wait()
-        return {"in_force_ns": [gateway.in_force_ns(generation) for gateway in self._gateways]}
+        return {"in_force_ns": [gateway.applied_at_ns(generation) for gateway in self._gateways]}
 
     async def _read_and_reset_figures(self, _: dict[str, Any]) -> dict[str, Any]:
         """Return the figures of all gateways since the last call, and the resident memory of the process."""
--- a/scale/records.py
+++ b/scale/records.py
@@ -15,7 +15,7 @@
 
 from . import ROOT
 
-__all__ = ["Figure", "Fit", "RunRecord", "append_record", "fit", "format_fits", "format_table"]
+__all__ = ["Fit", "Prediction", "RunRecord", "append_record", "fit", "format_fits", "format_table"]
 
 EXTRAPOLATION_FACTOR = 10
 """Multiple of the largest size run at which fits are evaluated; the result is marked as extrapolated."""
@@ -43,7 +43,7 @@
     """End of the run in UTC, ISO 8601."""
 
 
-class Figure(NamedTuple):
+class Prediction(NamedTuple):
     """A value predicted by a fit, and whether its size is beyond the largest size that was run."""
 
     value: float
@@ -58,9 +58,9 @@
     intercept: float
     largest_size: float
 
-    def predict(self, size: float) -> Figure:
+    def predict(self, size: float) -> Prediction:
         """Return the predicted value at a size."""
-        return Figure(self.intercept + self.slope * size, size > self.largest_size)
+        return Prediction(self.intercept + self.slope * size, size > self.largest_size)
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Fit:
--- a/scale/registry.py
+++ b/scale/registry.py
@@ -1,4 +1,4 @@
-"""A mock discovery server on real sockets: snapshots, watches, and one queue for all calls."""
+"""A fake discovery server on real sockets: snapshots, watches, and one queue for all calls."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from typing import Any, NamedTuple
 
 from .fleet import EndpointRow
-from .registry_call import RegistryCall, chunk
+from .registry_call import DiscoveryConnection, chunk
 
-__all__ = ["Capacity", "Counts", "Registry"]
+__all__ = ["Capacity", "Counts", "FakeDiscoveryServer"]
 
 
 @dataclass(frozen=True)
 class Capacity:
-    """Throughput of the server: a call costs one unit, and one more for every `lines_per_call` lines."""
+    """Throughput of the server: a call costs one unit, and one more for every `entries_per_unit` entries."""
 
     calls_per_s: float = 200.0
     """Units per second."""
-    lines_per_call: float = 500.0
-    """Number of lines of a response that cost one unit."""
+    entries_per_unit: float = 500.0
+    """Number of endpoint list entries in a response that cost one unit."""
     queue_timeout_s: float = 3.0
     """Maximum time of a call in the queue, seconds; after that it gets 503."""
 
@@ -49,20 +49,20 @@
 class _Watch:
     """An open watch, and when (monotonic, ns) each generation was written to its socket."""
 
-    call: RegistryCall
+    call: DiscoveryConnection
     written_ns: dict[int, int] = field(default_factory=dict)
 
 
 class _Update(NamedTuple):
-    """The update sent to a call: JSON text, number of rows, and whether it is a snapshot."""
+    """The update sent to a call: JSON text, number of entries, and whether it is a snapshot."""
 
     text: bytes
-    lines: int
+    entry_count: int
     is_snapshot: bool
 
 
-class Registry:
-    """Mock discovery server for any number of gateways, in one process and one event loop.
+class FakeDiscoveryServer:
+    """Fake discovery server for any number of gateways, in one process and one event loop.
 
     Calls are served one after another.  A response is cached until the list changes, so that the cost of
     building it does not distort the cost of sending it.
@@ -76,7 +76,10 @@
         heartbeat_s: float = 2.0,
         generation: int = 1,
     ) -> None:
-        """Create the server; a watch gets a delta up to `history` generations back, else a snapshot."""
+        """Create the server.
+
+        A watch that starts at most `history` generations back begins with a delta, any other with a snapshot.
+        """
         self.rows = {row["instanceId"]: row for row in rows}
         self.generation = generation
         self.counts = Counts()
@@ -87,17 +90,17 @@
         self._updates: dict[int | None, _Update] = {}  # by generation of the call; None for a fetch
         self._heartbeat_s = heartbeat_s
         self._is_down = False
-        self._connections: set[RegistryCall] = set()
-        self._watches: dict[RegistryCall, _Watch] = {}
-        self._queue: deque[RegistryCall] = deque()
+        self._connections: set[DiscoveryConnection] = set()
+        self._watches: dict[DiscoveryConnection, _Watch] = {}
+        self._queue: deque[DiscoveryConnection] = deque()
         self._queue_not_empty = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._server: asyncio.Server | None = None
 
-    async def start(self, host: str = "127.0.0.1", port: int = 0) -> Registry:
+    async def start(self, host: str = "127.0.0.1", port: int = 0) -> FakeDiscoveryServer:
         """Start to listen and set `address`; return this server."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: RegistryCall(self), host, port, backlog=1024)
+        self._server = await loop.create_server(lambda: DiscoveryConnection(self), host, port, backlog=1024)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
         self._tasks = [loop.create_task(self._serve()), loop.create_task(self._send_heartbeats())]
         return self
@@ -107,8 +110,8 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for call in list(self._connections):
-            call.abort()
+        for connection in list(self._connections):
+            connection.abort()
         if self._server is not None:
             self._server.close()
 
@@ -158,13 +161,13 @@
         """Resume serving calls after `take_down`."""
         self._is_down = False
 
-    # ---- Events of the calls -----------------------------------------------------------------------
+    # ---- Events of the connections -----------------------------------------------------------------
 
-    def on_connected(self, call: RegistryCall) -> None:
+    def on_connected(self, connection: DiscoveryConnection) -> None:
         """Handle a new connection."""
-        self._connections.add(call)
+        self._connections.add(connection)
 
-    def on_call(self, call: RegistryCall) -> None:
+    def on_call(self, call: DiscoveryConnection) -> None:
         """Queue a call, or reset it while discovery is down."""
         self.counts.calls += 1
         if self._is_down:
@@ -175,7 +178,7 @@
         self._queue.append(call)
         self._queue_not_empty.set()
 
-    def on_queue_timeout(self, call: RegistryCall) -> None:  # noqa: ARG002 - required by CallOwner
+    def on_queue_timeout(self, call: DiscoveryConnection) -> None:  # noqa: ARG002 - required by the interface
         """Count a call that reached its queue timeout."""
         self.counts.failures += 1
 
@@ -183,10 +186,10 @@
         """Count written bytes."""
         self.counts.bytes_written += size
 
-    def on_connection_lost(self, call: RegistryCall) -> None:
+    def on_connection_lost(self, connection: DiscoveryConnection) -> None:
         """Handle the end of a connection."""
-        self._connections.discard(call)
-        self._watches.pop(call, None)
+        self._connections.discard(connection)
+        self._watches.pop(connection, None)
 
     # ---- Service -----------------------------------------------------------------------------------
 
@@ -201,13 +204,13 @@
             if not call.is_waiting:
                 continue  # it reached its timeout, was reset, or its connection ended
             call.cancel_queue_timeout()
-            cost = 1 + self._update(call.since).lines / self._capacity.lines_per_call
+            cost = 1 + self._update(call.since).entry_count / self._capacity.entries_per_unit
             idle_from_s = max(idle_from_s, call.queued_at_s) + cost / self._capacity.calls_per_s
             await asyncio.sleep(max(0.0, idle_from_s - monotonic()))
             if call.is_waiting:
                 self._respond(call)
 
-    def _respond(self, call: RegistryCall) -> None:
+    def _respond(self, call: DiscoveryConnection) -> None:
         call.stop_waiting()
         update = self._update(call.since)
         self.counts.snapshots += update.is_snapshot
@@ -215,7 +218,7 @@
             call.respond(update.text)
             return
         watch = self._watches[call] = _Watch(call)
-        call.begin_watch(update.text + b"\n")
+        call.start_watch_response(update.text + b"\n")
         watch.written_ns[self.generation] = monotonic_ns()
 
     def _update(self, since: int | None) -> _Update:
--- a/scale/registry_call.py
+++ b/scale/registry_call.py
@@ -1,4 +1,4 @@
-"""A connection to the mock discovery server: it carries successive calls, or finally a watch."""
+"""A connection to the fake discovery server: it carries successive calls; the last may be a watch."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Protocol, cast
 from urllib.parse import parse_qs, urlsplit
 
-__all__ = ["CallOwner", "RegistryCall", "chunk"]
+__all__ = ["ConnectionOwner", "DiscoveryConnection", "chunk"]
 
 PATH = "/registry/instances"
 MAX_HEAD_BYTES = 16 * 1024
@@ -19,22 +19,22 @@
 """Value of SO_LINGER that makes close() reset the connection."""
 
 
-class CallOwner(Protocol):
-    """Events that a call reports to the mock discovery server."""
+class ConnectionOwner(Protocol):
+    """Events that a connection reports to the fake discovery server."""
 
-    def on_call(self, call: RegistryCall) -> None:
+    def on_call(self, call: DiscoveryConnection) -> None:
         """Handle a new call."""
 
-    def on_queue_timeout(self, call: RegistryCall) -> None:
+    def on_queue_timeout(self, call: DiscoveryConnection) -> None:
         """Handle a call that waited too long and gets 503."""
 
     def on_written(self, size: int) -> None:
         """Count written bytes."""
 
-    def on_connected(self, call: RegistryCall) -> None:
+    def on_connected(self, connection: DiscoveryConnection) -> None:
         """Handle a new connection."""
 
-    def on_connection_lost(self, call: RegistryCall) -> None:
+    def on_connection_lost(self, connection: DiscoveryConnection) -> None:
         """Handle the end of a connection."""
 
 
@@ -47,10 +47,10 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class RegistryCall(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """A connection, and its current call."""
 
-    def __init__(self, owner: CallOwner) -> None:
+    def __init__(self, owner: ConnectionOwner) -> None:
         self.since: int | None = None
         """Generation after which a watch begins; None for a fetch of a snapshot."""
         self.is_waiting = False
@@ -121,7 +121,7 @@
         """Send the response to a fetch."""
         self.write(_response(200, body))
 
-    def begin_watch(self, line: bytes) -> None:
+    def start_watch_response(self, line: bytes) -> None:
         """Send the head and the first line of the response to a watch."""
         self.is_watch = True
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line))
--- a/tests/gateway/test_client_close.py
+++ b/tests/gateway/test_client_close.py
@@ -140,10 +140,10 @@
     def handle_request(self, request_id: int) -> None:
         self.actions.set_timer(request_id, 60_000 * MS)
 
-    def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - interface
+    def on_timer(self, now_ns: int, token: int) -> None:  # noqa: ARG002 - required by the interface
         self.actions.send_attempt(token, "h0", 0)
 
-    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - interface
+    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - required by the interface
         if not result.is_final:
             self.actions.send_attempt(result.request_id, "h0", 0)
 
@@ -151,7 +151,7 @@
 each_unread_close = pytest.mark.parametrize(
     "close_client", [BlockingClient.close, BlockingClient.half_close, BlockingClient.reset]
 )
-"""The client closes in the same event loop turn as another event, which is handled first."""
+"""The client closes in the same event loop iteration as another event, which is handled first."""
 read_or_paused = pytest.mark.parametrize("count", [1, MAX_PIPELINED])
 """With one open request the connection is being read; with `MAX_PIPELINED` reading is paused."""
 CloseBlockingClient = Callable[[BlockingClient], None]
@@ -221,7 +221,7 @@
 
 @read_or_paused
 @each_unread_close
-async def test_a_connection_that_comes_up_before_the_close_is_read_sends_nothing(
+async def test_a_connection_established_before_the_close_is_read_sends_nothing(
     close_client: CloseBlockingClient, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with GatewayHarness() as harness:
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("close_client", [close, half_close])
-async def test_a_connection_that_comes_up_soon_after_the_close_is_not_used(
+async def test_a_connection_established_soon_after_the_close_is_not_used(
     close_client: CloseClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Without this check three of four requests were still forwarded 0.17 s after the close."""
@@ -270,7 +270,7 @@
 async def test_a_close_is_distinguished_from_unread_bytes(
     rdhup: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also on a system without POLLRDHUP; polling the socket must not consume the unread bytes."""
+    """A close is recognized with and without POLLRDHUP; polling the socket must not consume unread bytes."""
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
@@ -334,7 +334,7 @@
         endpoint = FakeEndpoint()
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
         client = BlockingClient(harness.gateway_address)
-        flood = MAX_PIPELINED + 2  # so many invalid requests pause reading until a sweep
+        flood = MAX_PIPELINED + 2  # enough invalid requests to pause reading until a sweep
         client.sock.sendall(request(request_id="") * flood)
         await wait_until(lambda: harness.gateway.server.open_connections == 1)
         [connection] = harness.gateway.server.connections
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -109,7 +109,7 @@
         await watch.notify(old.make_entry("terminating"), new.make_entry())
         await harness.send("r2")
         assert harness.endpoints_in_flight() == ["old", "new"]
-        assert received.first_line.startswith("GET")  # the reference retains the connection until here
+        assert received.first_line.startswith("GET")  # `received` keeps the connection open until here
 
 
 async def test_the_limit_grows_fast_while_requests_wait_and_endpoints_are_idle() -> None:
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration reload on SIGHUP: over sockets, by its single steps, and in a real process."""
+"""Configuration reload on SIGHUP: over sockets, step by step, and in a real process."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -125,7 +125,7 @@
     assert await harness.updates.get() == (UpdateKind.DELTA, [])
     discovery.change_address(split_address(other))
     await other.calls.get()
-    old.close()  # the old address goes away soon after the change
+    old.close()  # the old server closes its watch soon after the change
     await wait_until(lambda: discovery.current_watch is None)
     discovery.address_changed_ns -= FAST_RECONNECT_PERIOD_NS
     discovery.sweep(now_ns() + 17 * SECOND // 4)
--- a/tests/gateway/test_discovery_calls.py
+++ b/tests/gateway/test_discovery_calls.py
@@ -163,7 +163,7 @@
     server, discovery = harness.server, harness.discovery
     discovery.watch(True)
     await server.calls.get()
-    discovery.sweep(now_ns() + 3 * SECOND)  # a call may have to wait for its turn
+    discovery.sweep(now_ns() + 3 * SECOND)  # a call may wait in the queue of discovery
     assert harness.updates.empty()
     # The gateway counts as notified after 6 s without data; the next call must respond within that time.
     discovery.sweep(now_ns() + 9 * SECOND // 2)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -29,7 +29,7 @@
 )
 
 STALL_ALLOWANCE_NS = 900 * MS
-"""Time for which a busy machine may stop the process, ns; the test must not fail because of it."""
+"""Margin added to a time limit for stalls of the process on a busy machine, ns."""
 
 
 async def test_a_half_closed_client_gets_its_response() -> None:
@@ -131,19 +131,22 @@
 
 
 class ChecksHealth(StubBalancer):
-    """Sends a health check for each request and its result to itself by gossip, which starts the attempt."""
+    """Checks the endpoint's health for each request and gossips the result to itself.
+
+    The arrival of that gossip makes it send the attempt.
+    """
 
     def handle_request(self, request_id: int) -> None:
         self.request_id = request_id
         self.actions.check_health("h0")
 
-    def on_health_checked(self, now_ns: int, result: HealthCheckResult) -> None:  # noqa: ARG002 - the gateway's
+    def on_health_checked(self, now_ns: int, result: HealthCheckResult) -> None:  # noqa: ARG002 - required by the interface
         self.actions.send_gossip(
             0, f"{result.endpoint_id} {result.outcome.name} {result.load_report}".encode()
         )
         self.actions.send_gossip(9, b"to nobody")
 
-    def on_gossip(self, now_ns: int, peer: int, content: bytes) -> None:  # noqa: ARG002 - the gateway's
+    def on_gossip(self, now_ns: int, peer: int, content: bytes) -> None:  # noqa: ARG002 - required by the interface
         if content == b"h0 OK (7.0,)" and peer == 0:
             self.actions.send_attempt(self.request_id, "h0", 0)
 
@@ -212,7 +215,7 @@
         super().__init__(settings, seed, actions)
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
 
-    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
+    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - required by the interface
         self.outcomes.put_nowait(result.outcome)
 
 
--- a/tests/gateway/test_event_loop_stalls.py
+++ b/tests/gateway/test_event_loop_stalls.py
@@ -33,28 +33,28 @@
     """Run a gateway process with one endpoint, and a client connection on which a request has been served."""
     endpoint, discovery = await FakeEndpoint().start(), await FakeDiscovery().start()
     write_config(path, discovery, endpoint)
-    program, address = await start_gateway(path)
+    process, address = await start_gateway(path)
     client = await connect(address)
     assert (await client.exchange(request(request_id="first")))[0] == 200
     await endpoint.received.get()
     try:
-        yield program, endpoint, client, address
+        yield process, endpoint, client, address
     finally:
-        program.kill()
-        await program.wait()
+        process.kill()
+        await process.wait()
 
 
 @pytest.mark.parametrize("is_new", [False, True], ids=["open", "new"])
 async def test_a_request_that_expired_in_a_stall_is_not_forwarded(is_new: bool, tmp_path: Path) -> None:
-    async with gateway(tmp_path / "c") as (program, endpoint, client, address):
-        program.send_signal(signal.SIGSTOP)
-        await wait_until_stopped(program.pid)
+    async with gateway(tmp_path / "c") as (process, endpoint, client, address):
+        process.send_signal(signal.SIGSTOP)
+        await wait_until_stopped(process.pid)
         sender = client
         if is_new:  # the kernel establishes the connection; the gateway has not accepted it yet
             sender = await connect(address)
         sender.send(request(request_id="old", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
-        program.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         assert (await sender.read_response())[0] == 503
         assert (await sender.exchange(request(request_id="next", X_Timeout_Ms=str(10 * SHORT_TIMEOUT_MS))))[
             0
@@ -64,25 +64,25 @@
 
 async def test_expired_requests_on_connections_in_the_backlog_are_not_forwarded(tmp_path: Path) -> None:
     """The connections are accepted in parts, over several event loop iterations."""
-    async with gateway(tmp_path / "c") as (program, endpoint, _, address):
-        program.send_signal(signal.SIGSTOP)
-        await wait_until_stopped(program.pid)
+    async with gateway(tmp_path / "c") as (process, endpoint, _, address):
+        process.send_signal(signal.SIGSTOP)
+        await wait_until_stopped(process.pid)
         clients = [await connect(address) for _ in range(60)]
         for number, waiting_client in enumerate(clients):
             waiting_client.send(request(request_id=f"old{number}", X_Timeout_Ms=str(SHORT_TIMEOUT_MS)))
         await asyncio.sleep(STALL_S)
-        program.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         assert [(await waiting_client.read_response())[0] for waiting_client in clients] == [503] * 60
         assert endpoint.received.empty()
 
 
 async def test_an_endpoint_gets_the_remaining_timeout_after_a_stall(tmp_path: Path) -> None:
-    async with gateway(tmp_path / "c") as (program, endpoint, client, _):
-        program.send_signal(signal.SIGSTOP)
-        await wait_until_stopped(program.pid)
+    async with gateway(tmp_path / "c") as (process, endpoint, client, _):
+        process.send_signal(signal.SIGSTOP)
+        await wait_until_stopped(process.pid)
         client.send(request(request_id="old", X_Timeout_Ms="5000"))
         await asyncio.sleep(STALL_S)
-        program.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         assert (await client.read_response())[0] == 200
         timeout_ms = int((await endpoint.received.get()).headers["x-timeout-ms"])
         assert timeout_ms <= 5000 - 1000 * STALL_S
@@ -92,16 +92,16 @@
 async def test_a_request_that_is_read_together_with_its_close_is_not_forwarded(
     is_new: bool, tmp_path: Path
 ) -> None:
-    async with gateway(tmp_path / "c") as (program, endpoint, client, address):
-        program.send_signal(signal.SIGSTOP)
-        await wait_until_stopped(program.pid)
+    async with gateway(tmp_path / "c") as (process, endpoint, client, address):
+        process.send_signal(signal.SIGSTOP)
+        await wait_until_stopped(process.pid)
         closing_client = await connect(address) if is_new else client
         closing_client.send(request(request_id="left"))
         await closing_client.writer.drain()
         closing_client.writer.close()
         await closing_client.writer.wait_closed()
         await asyncio.sleep(STALL_S)
-        program.send_signal(signal.SIGCONT)
+        process.send_signal(signal.SIGCONT)
         other = await connect(address)
         assert (await other.exchange(request(request_id="other")))[0] == 200
         assert (await endpoint.received.get()).headers["x-request-id"] == "other"
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -57,7 +57,10 @@
 
 @pytest.mark.parametrize("with_reset", [False, True], ids=["end", "reset"])
 async def test_a_response_without_a_length_ends_with_its_connection(with_reset: bool, tmp_path: Path) -> None:
-    """incident-2: none of 85 such responses reached a client.  A reset does not end a response regularly."""
+    """incident-2: none of 85 such responses reached a client.
+
+    A response that ends with a reset is incomplete.
+    """
     endpoint, discovery = await FakeEndpoint(reply=None).start(), await FakeDiscovery().start()
     write_config(tmp_path / "c", discovery, endpoint)
     process, address = await start_gateway(tmp_path / "c")
@@ -73,7 +76,7 @@
 
 
 def end_connection(received: ReceivedRequest, with_reset: bool) -> None:
-    """Close an endpoint's connection regularly or with a reset."""
+    """Close an endpoint's connection normally or with a TCP reset."""
     if with_reset:
         sock = received.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -131,7 +131,9 @@
     assert await process.wait() == 0
 
 
-async def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+async def test_sighup_changes_the_discovery_address_and_an_invalid_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
     endpoint = await FakeEndpoint(reply=None).start()
     first, second, third = [await FakeDiscovery().start() for _ in range(3)]
     config = write_config(tmp_path / "c", first, endpoint)
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -45,7 +45,10 @@
 
 
 def speed_up_watch(harness: GatewayHarness, delays_ns: list[int]) -> None:
-    """Shorten the gateway's own backoff, used where discovery pushes the list; appends it to `delays_ns`."""
+    """Shorten the delays of the gateway's own backoff, which is used if discovery pushes the list.
+
+    The original delays are appended to `delays_ns`.
+    """
     timers, watch = harness.gateway.timers, harness.gateway.discovery.watch
     call_after = timers.call_after
 
@@ -93,9 +96,10 @@
 async def test_with_an_empty_list_nine_in_ten_are_ready_in_time(
     failing_calls: int, max_ns: int, mode: str
 ) -> None:
-    """Adds up the delays before and between the calls of discovery, of which the first `failing_calls` fail.
+    """Adds up the delays before and between the calls to discovery; the first `failing_calls` of them fail.
 
-    Gateways that poll discovery once took too long: 6.5, 14.8 and 23.8 s for nine in ten.
+    Otherwise nine in ten of the gateways that poll discovery would be ready too late: after 6.5, 14.8 and
+    23.8 s.
     """
 
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
--- a/tests/scale/test_cold_start.py
+++ b/tests/scale/test_cold_start.py
@@ -13,7 +13,8 @@
 def test_gateways_that_start_together_with_all_endpoints_send_requests(gateways: int, endpoints: int) -> None:
     """Gateways must send before the first response.
 
-    Without a response a gateway knew no rate, so it sent nothing until the slow start ended after 23 s.
+    Otherwise a gateway, which has no estimate of the rate without a response, would send nothing until the
+    slow start ends after 23 s.
     """
     scenario = Scenario(
         gateways, endpoints, gateways_start=True, restarted=True, starting_share=1.0, seconds=8
@@ -30,10 +31,10 @@
 def test_overload_budget_holds_when_nothing_else_limits_the_load(
     gateways: int, endpoints: int, mean_work_ns: int
 ) -> None:
-    """Endpoints in slow start respond at full speed and report idle, under 1.5 times the capacity.
+    """All endpoints are in slow start, but respond at full speed and report no requests in flight.
 
-    A fifth of the allowed load must stay unused: the speed of an endpoint and the load from other gateways
-    are only estimates.
+    The load is 1.5 times their capacity.  A fifth of the allowed load must stay unused: the speed of an
+    endpoint and the load from other gateways are only estimates.
     """
     for seed in range(2):
         scenario = Scenario(
--- a/tests/scale/test_experiments.py
+++ b/tests/scale/test_experiments.py
@@ -7,7 +7,7 @@
 from scale.experiments import endpoints, gateways, settings
 
 
-async def test_bytes_of_a_snapshot_and_a_zone_loss_grow_with_the_endpoints_but_not_of_one_change() -> None:
+async def test_bytes_of_a_snapshot_and_a_zone_loss_grow_with_the_fleet_and_those_of_a_change_do_not() -> None:
     small, large = [await endpoints.run(size, 1, changes=2) for size in (30, 300)]
     assert 9 < large["list_bytes"] / small["list_bytes"] < 11
     assert 9 < large["zone_bytes"] / small["zone_bytes"] < 11
@@ -29,7 +29,7 @@
         await gateways.run(721, 1, hosts=7_500)
 
 
-async def test_settings_change_is_in_force_after_sighup_and_after_a_restart() -> None:
+async def test_settings_change_is_applied_after_sighup_and_after_a_restart() -> None:
     figures = await settings.run(20, 1)
     assert figures["restart_in_force_share"] == figures["sighup_in_force_share"] == 1.0
     assert figures["sighup_hold_ms"] > 0
--- a/tests/scale/test_load.py
+++ b/tests/scale/test_load.py
@@ -1,4 +1,4 @@
-"""Load generator and endpoint stub."""
+"""Load generator and fake endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from scale.backend import Backend, UnknownColumnError
+from scale.backend import FakeEndpoints, UnknownColumnError
 from scale.backend import main as backend_main
 from scale.load import LoadGenerator, arrival_times, request_bytes
 from scale.load import main as load_main
@@ -74,8 +74,8 @@
 
 def test_each_request_gets_one_response_with_the_endpoint_time() -> None:
     async def check() -> None:
-        backend = Backend(3, 0.005)
-        [address] = await backend.start(1)
+        fake_endpoints = FakeEndpoints(3, 0.005)
+        [address] = await fake_endpoints.start(1)
         samples = await LoadGenerator(parse_address(address), "read", "t", 15_000).run(
             arrival_times(200, 0.5, 3)
         )
@@ -86,17 +86,17 @@
             sample.status == 200 and 0 <= sample.endpoint_ns <= sample.done_ns - sample.sent_ns
             for sample in samples
         )
-        expected_s = sum(backend.service_time_s(sample.request_id.encode()) for sample in samples)
+        expected_s = sum(fake_endpoints.service_time_s(sample.request_id.encode()) for sample in samples)
         assert sum(sample.endpoint_ns for sample in samples) / 1e9 > expected_s / 2
-        backend.close()
+        fake_endpoints.close()
 
     run_coroutine(check)
 
 
 def test_endpoint_responses_have_the_format_of_the_protocol() -> None:
     async def check() -> None:
-        backend = Backend(3, 0.001, ("utilization", "outstanding"))
-        [address] = await backend.start(1)
+        fake_endpoints = FakeEndpoints(3, 0.001, ("utilization", "outstanding"))
+        [address] = await fake_endpoints.start(1)
 
         async def send(text: bytes) -> bytes:
             reader, writer = await asyncio.open_connection(*parse_address(address))
@@ -114,11 +114,11 @@
         assert b"\r\nServer-Timing: app;dur=" in served
         assert (await send(b"GET /read HTTP/1.1\r\n\r\n")).startswith(b"HTTP/1.1 404 ")
         assert (await send(b"no request\r\n\r\n")).startswith(b"HTTP/1.1 400 ")
-        backend.close()
+        fake_endpoints.close()
 
     run_coroutine(check)
     with pytest.raises(UnknownColumnError):
-        Backend(3, 0.001, ("mood",))
+        FakeEndpoints(3, 0.001, ("mood",))
 
 
 def test_invalid_arguments_of_load_and_backend_exit_2() -> None:
--- a/tests/scale/test_registry.py
+++ b/tests/scale/test_registry.py
@@ -1,4 +1,4 @@
-"""Discovery stub: fetches, watches, the queue of calls and outages."""
+"""Fake discovery server: fetches, watches, the queue of calls and outages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 from scale.fleet import EndpointRow, Fleet
-from scale.registry import Capacity, Registry
+from scale.registry import Capacity, FakeDiscoveryServer
 from tests.support.loopback import run_coroutine, wait_until
 
 from .fleets import make_fleet
@@ -19,7 +19,7 @@
 
 
 class DiscoveryClient:
-    """Client connection to the discovery stub."""
+    """Client connection to the fake discovery server."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -59,23 +59,25 @@
 Connect = Callable[[], Awaitable[DiscoveryClient]]
 
 
-def run_with_registry(test: Callable[[Registry, Fleet, Connect], Awaitable[None]], **options: Any) -> None:
-    """Run a test with a discovery stub for twelve endpoints, their fleet and a connect function."""
+def run_with_discovery(
+    test: Callable[[FakeDiscoveryServer, Fleet, Connect], Awaitable[None]], **options: Any
+) -> None:
+    """Run a test with a fake discovery server for twelve endpoints, their fleet and a connect function."""
 
     async def run() -> None:
         fleet = make_fleet()
-        registry = await Registry(
+        discovery = await FakeDiscoveryServer(
             fleet.rows.values(), **{"generation": 40, "heartbeat_s": 60.0, **options}
         ).start()
-        host, _, port = registry.address.rpartition(":")
+        host, _, port = discovery.address.rpartition(":")
 
         async def connect() -> DiscoveryClient:
             return DiscoveryClient(*await asyncio.open_connection(host, int(port)))
 
         try:
-            await test(registry, fleet, connect)
+            await test(discovery, fleet, connect)
         finally:
-            await registry.close()
+            await discovery.close()
 
     run_coroutine(run)
 
@@ -85,103 +87,105 @@
 
 
 def test_fetch_and_watch_have_the_format_of_the_protocol() -> None:
-    async def check(registry: Registry, fleet: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, fleet: Fleet, connect: Connect) -> None:
         fetcher = await connect()
         snapshot = {"generation": 40, "reset": True, "instances": list(fleet.rows.values())}
         assert await fetcher.fetch() == (200, snapshot) == await fetcher.fetch()  # on the same connection
         watcher = await connect()
         assert await watcher.watch(40) == {"generation": 40, "reset": False, "instances": []}
         for changed in (fleet.drain(1), fleet.lose_zone("zone-0")):
-            generation = registry.publish(changed)
+            generation = discovery.publish(changed)
             assert await watcher.read_event() == {
                 "generation": generation,
                 "reset": False,
                 "instances": changed,
             }
-            assert len(registry.written_ns(generation)) == 1
+            assert len(discovery.written_ns(generation)) == 1
         assert (await fetcher.fetch())[1]["instances"] == list(fleet.rows.values())
-        assert (registry.counts.calls, registry.counts.failures, registry.counts.snapshots) == (4, 0, 3)
+        assert (discovery.counts.calls, discovery.counts.failures, discovery.counts.snapshots) == (4, 0, 3)
 
-    run_with_registry(check)
+    run_with_discovery(check)
 
 
 def test_watch_starts_with_the_missed_changes_or_a_snapshot() -> None:
-    async def check(registry: Registry, fleet: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, fleet: Fleet, connect: Connect) -> None:
         changes = [fleet.drain(1), fleet.replace(1), fleet.replace(1)]
         for changed in changes:
-            registry.publish(changed)
+            discovery.publish(changed)
         missed = await (await connect()).watch(41)
         assert (missed["generation"], missed["reset"]) == (43, False)
         assert instance_ids(missed["instances"]) == instance_ids(changes[1] + changes[2])
-        for unknown in (40, 0, 99):  # older than the history, none, of another discovery
+        for unknown in (40, 0, 99):  # older than the history; no generation; one that this server never had
             snapshot = await (await connect()).watch(unknown)
             assert snapshot["reset"]
             assert instance_ids(snapshot["instances"]) == set(fleet.rows)
 
-    run_with_registry(check, history=2)
+    run_with_discovery(check, history=2)
 
 
 def test_watch_sends_heartbeats_while_the_list_does_not_change() -> None:
-    async def check(registry: Registry, _: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, _: Fleet, connect: Connect) -> None:
         watch = await connect()
         await watch.watch(40)
         assert await watch.read_event() is None
-        assert registry.counts.heartbeat_bytes >= 6
-        assert registry.counts.update_bytes() > 0
+        assert discovery.counts.heartbeat_bytes >= 6
+        assert discovery.counts.update_bytes() > 0
 
-    run_with_registry(check, heartbeat_s=0.01)
+    run_with_discovery(check, heartbeat_s=0.01)
 
 
 def test_queued_calls_fail_after_the_queue_timeout() -> None:
-    async def check(registry: Registry, _: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, _: Fleet, connect: Connect) -> None:
         in_service = await connect()
         in_service.writer.write(FETCH)
         # The first call must be in service, so that only the next one is queued.
-        await wait_until(lambda: registry.counts.calls == 1 and not registry.queue_length)
+        await wait_until(lambda: discovery.counts.calls == 1 and not discovery.queue_length)
         queued = await connect()
         assert await queued.fetch() == (503, None) == await queued.fetch()
-        assert (registry.counts.calls, registry.counts.failures) == (3, 2)
+        assert (discovery.counts.calls, discovery.counts.failures) == (3, 2)
 
-    run_with_registry(check, capacity=Capacity(SLOW.calls_per_s, queue_timeout_s=0.02))
+    run_with_discovery(check, capacity=Capacity(SLOW.calls_per_s, queue_timeout_s=0.02))
 
 
-def test_service_time_of_a_call_grows_with_its_lines() -> None:
-    async def check(registry: Registry, _: Fleet, connect: Connect) -> None:
+def test_service_time_of_a_call_grows_with_its_entries() -> None:
+    async def check(discovery: FakeDiscoveryServer, _: Fleet, connect: Connect) -> None:
         quick, slow = await connect(), await connect()
         assert (await quick.watch(40))["instances"] == []
-        slow.writer.write(FETCH)  # twelve lines at 1,000 s each
-        await wait_until(lambda: registry.counts.calls == 2 and not registry.queue_length)
+        slow.writer.write(FETCH)  # twelve entries at 1,000 s each
+        await wait_until(lambda: discovery.counts.calls == 2 and not discovery.queue_length)
         assert await (await connect()).fetch() == (503, None)
 
-    run_with_registry(check, capacity=Capacity(calls_per_s=1000.0, lines_per_call=1e-6, queue_timeout_s=0.02))
+    run_with_discovery(
+        check, capacity=Capacity(calls_per_s=1000.0, entries_per_unit=1e-6, queue_timeout_s=0.02)
+    )
 
 
 def test_outage_ends_watches_and_resets_calls() -> None:
-    async def check(registry: Registry, fleet: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, fleet: Fleet, connect: Connect) -> None:
         watch = await connect()
         await watch.watch(40)
-        registry.take_down()
+        discovery.take_down()
         assert await watch.is_closed()
         during = await connect()
         during.writer.write(FETCH)
         assert await during.is_closed()
-        assert (registry.counts.failures, registry.watch_count) == (1, 0)
+        assert (discovery.counts.failures, discovery.watch_count) == (1, 0)
         changed = fleet.lose_zone("zone-2")
-        registry.publish(changed)
-        registry.bring_up()
+        discovery.publish(changed)
+        discovery.bring_up()
         assert instance_ids((await (await connect()).watch(40))["instances"]) == instance_ids(changed)
 
-    run_with_registry(check)
+    run_with_discovery(check)
 
 
 def test_outage_resets_calls_in_service_and_in_the_queue() -> None:
-    async def check(registry: Registry, _: Fleet, connect: Connect) -> None:
+    async def check(discovery: FakeDiscoveryServer, _: Fleet, connect: Connect) -> None:
         clients = [await connect(), await connect()]
         for client in clients:
             client.writer.write(FETCH)
-        await wait_until(lambda: registry.counts.calls == 2)
-        registry.take_down()
+        await wait_until(lambda: discovery.counts.calls == 2)
+        discovery.take_down()
         assert [await client.is_closed() for client in clients] == [True, True]
-        assert registry.counts.failures == 2
+        assert discovery.counts.failures == 2
 
-    run_with_registry(check, capacity=SLOW)
+    run_with_discovery(check, capacity=SLOW)
--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -78,7 +78,7 @@
 
 
 class UnreportedConnects:
-    """Connects to an endpoint at once, but reports a connection to the gateway only when a test says so."""
+    """Connects to an endpoint at once; reports it to the gateway only when a test calls `report_connected`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/support/gateway_model.py
+++ b/tests/support/gateway_model.py
@@ -107,7 +107,7 @@
         self.balancer.on_endpoint_list(self.now_ns, kind, entries)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings in force."""
+        """Apply new settings."""
         self.settings = self.rule_checker.settings = settings
         self.balancer.on_settings(self.now_ns, settings)
 
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -54,7 +54,7 @@
     REJECTED = "rejected"
     FAILED = "failed"
     ABANDONED = "abandoned"
-    """No response: the client closed its connection before."""
+    """No response, because the client closed its connection first."""
 
 
 class SentAttempt(NamedTuple):
@@ -90,7 +90,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        """The settings in force."""
+        """The current settings."""
         self.requests: dict[int, RequestRecord] = {}
         """All requests so far, by their ids."""
         self.final_responses: dict[int, FinalResponse] = {}
--- a/tests/support/stub_balancers.py
+++ b/tests/support/stub_balancers.py
@@ -24,13 +24,13 @@
 class StubBalancer:
     """Base class of the stubs: calls `handle_request` for each request, ignores events without a method."""
 
-    def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:  # noqa: ARG002 - the gateway's
+    def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:  # noqa: ARG002 - required by the interface
         self.actions = actions
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_event: None
 
-    def on_request(self, now_ns: int, incoming: IncomingRequest) -> None:  # noqa: ARG002 - the gateway's
+    def on_request(self, now_ns: int, incoming: IncomingRequest) -> None:  # noqa: ARG002 - required by the interface
         self.handle_request(incoming.request_id)
 
     def handle_request(self, request_id: int) -> None:
@@ -64,7 +64,7 @@
     def handle_request(self, request_id: int) -> None:
         self.actions.send_attempt(request_id, ENDPOINT, 0)
 
-    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
+    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - required by the interface
         raise RuntimeError("deliberate error at the end of an attempt")
 
 
@@ -106,6 +106,6 @@
         self.actions.send_attempt(request_id, ENDPOINT, 0)
         self.depth -= 1
 
-    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - the gateway's
+    def on_attempt_ended(self, now_ns: int, result: AttemptResult) -> None:  # noqa: ARG002 - required by the interface
         self.max_depth = max(self.max_depth, self.depth + 1)
         self.outcomes.append((result.attempt, str(result.endpoint_id), result.outcome.name))
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -97,7 +97,7 @@
 
 
 def peek(sock: socket.socket) -> bytes | None:
-    """Return a byte that can be read now, nothing at the end of the stream, None if no data is available."""
+    """Return the next unread byte without consuming it; b"" at the end of the stream, None without data."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
--- a/tests/vocabulary_check.py
+++ b/tests/vocabulary_check.py
@@ -24,7 +24,7 @@
 PAGES = ("README.md", "docs/ARCHITECTURE.md", "docs/CAPACITY.md")
 GLOSSARY = ROOT / "docs" / "GLOSSARY.md"
 RETIRED_WORDS_HEADING = "## Retired words"
-ALLOWED_FILES = frozenset({"cold_start", "test_cold_start"})
+ALLOWED_MODULES = frozenset({"cold_start", "test_cold_start"})
 """Module names that are allowed because a command of the project has that name."""
 
 ALLOWED_NAMES = frozenset({"ask_within_s"})
@@ -164,7 +164,7 @@
     for package in PACKAGES:
         for path in sorted((root / package).rglob("*.py")):
             name = path.relative_to(root).as_posix()
-            if path.stem not in ALLOWED_FILES:
+            if path.stem not in ALLOWED_MODULES:
                 findings += vocabulary.find(name, [Text(1, split_name(path.stem))])
             findings += vocabulary.find(name, texts_of_python(path.read_text()))
     for page in PAGES:
