--- a/tests/support/event_control.py
+++ b/tests/support/event_control.py
@@ -78,7 +78,7 @@
 
 
 class UnreportedConnects:
-    """Connects to an endpoint at once; reports it to the gateway only when a test calls `report_connected`."""
+    """Connects to an endpoint at once; reports it to the gateway only if a test calls `report_connected`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, endpoint: FakeEndpoint) -> None:
         loop = asyncio.get_running_loop()
