--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -244,7 +244,7 @@
     def __post_init__(self) -> None:
         if self.weight_mode not in WEIGHT_MODES:
             raise ValueError(
-                f"settings.weight_mode must be one of {', '.join(WEIGHT_MODES)}, not {self.weight_mode!r}"
+                f"settings.weights must be one of {', '.join(WEIGHT_MODES)}, not {self.weight_mode!r}"
             )
         _require_non_negative(
             "settings", replica_index=self.replica_index, over_quota_weight=self.over_quota_weight
