--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -72,7 +72,7 @@
         self._server.dispatcher.telemetry.count_closed_connection(
             self.number, self._close_reason, self._parser.in_message
         )
-        self._parser.close()
+        self._parser.release()
         for exchange in self.queue:
             if exchange.response is None:
                 self._server.release_request_id(exchange.client_request_id)
@@ -99,7 +99,7 @@
         if self._parser.is_upgrade:
             self._decline_upgrade()
         if self._parser.error is not None and self._lifecycle.is_open:
-            self._respond_parse_error(self._parser.error)
+            self._respond_closing_error(self._parser.error)
         # Must come last: requests answered immediately have already left the queue.
         if self.queue.is_full or self.queue.is_flooded:
             self.reading.pause(now_ns())
@@ -138,7 +138,7 @@
         exchange = Exchange(self, closes_connection=not request.keep_alive)
         self.queue.append(exchange)
         try:
-            self._server.route(exchange, request, self._earliest_arrival_ns)
+            self._server.handle_request(exchange, request, self._earliest_arrival_ns)
         except Exception:  # the parser would report it as malformed input
             log.exception("a request could not be accepted due to an unexpected error")
             if exchange.response is None:
@@ -253,7 +253,7 @@
                 # close() would wait for the client to read the buffered data.
                 self._transport.abort() if self._write_blocked_since_ns else self._transport.close()
         elif self._parser.in_message and self._lifecycle.is_open and waited_ns > SLOW_CLIENT_TIMEOUT_NS:
-            self._respond_parse_error(InvalidRequestError(408, "the request was too slow"))
+            self._respond_closing_error(InvalidRequestError(408, "the request was too slow"))
         elif self.is_between_requests() and waited_ns > IDLE_TIMEOUT_NS:
             self.close(CloseReason.IDLE)
 
@@ -279,7 +279,7 @@
         else:
             last.closes_connection = True  # when written: it may be deferred or queued behind other responses
 
-    def _respond_parse_error(self, error: InvalidRequestError) -> None:
+    def _respond_closing_error(self, error: InvalidRequestError) -> None:
         """Queue an error response that closes the connection, as message framing is lost."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
         exchange = Exchange(self, closes_connection=True)
--- a/gateway/client/exchange.py
+++ b/gateway/client/exchange.py
@@ -8,7 +8,7 @@
 from balancer import SECOND
 
 from ..dispatcher import Request
-from ..messages import HOP_BY_HOP_HEADERS, LOAD_REPORT_HEADER, Header, Response
+from ..messages import LOAD_REPORT_HEADER, UNFORWARDED_HEADERS, Header, Response
 
 if TYPE_CHECKING:
     from .connection import ClientConnection
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("gateway.client.exchange")
 
-DROPPED_RESPONSE_HEADERS = HOP_BY_HOP_HEADERS | {LOAD_REPORT_HEADER}
+DROPPED_RESPONSE_HEADERS = UNFORWARDED_HEADERS | {LOAD_REPORT_HEADER}
 """Endpoint response headers that are not forwarded to the client, in lower case."""
 REASON_PHRASES = {
     200: b"OK",
--- a/gateway/client/listener.py
+++ b/gateway/client/listener.py
@@ -23,7 +23,7 @@
 
 LISTEN_BACKLOG = 1024
 """Maximum number of connections waiting to be accepted."""
-ACCEPTS_PER_TURN = 8
+ACCEPTS_PER_ITERATION = 8
 """Connections accepted in one turn of the event loop.  They count as open two turns later, so that up to
 twice as many connections above the limit may hold a descriptor meanwhile."""
 ACCEPT_RETRY_DELAY_NS = 10 * MS
@@ -92,7 +92,7 @@
         self._socket = None
 
     def _accept_batch(self) -> None:
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(ACCEPTS_PER_ITERATION):
             if self._socket is None or not self._accept_one(self._socket):
                 return
 
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -79,7 +79,7 @@
             if self._head_bytes > 2 * MAX_HEAD_BYTES:
                 self._record_error(431, "a head too long")
 
-    def close(self) -> None:
+    def release(self) -> None:
         """Break the reference cycle with the httptools parser, so that no garbage collection is needed."""
         del self._parser, self._handler
 
--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -27,11 +27,11 @@
         self,
         dispatcher: Dispatcher,
         settings: Settings,
-        tenants: dict[bytes, int],
+        tenant_slots: dict[bytes, int],
         max_connections: int,
         loop_monitor: LoopMonitor,
     ) -> None:
-        """`tenants` maps tenant names to slots; `max_connections` limits the open connections."""
+        """`tenant_slots` maps tenant names to slots; `max_connections` limits the open connections."""
         self.dispatcher = dispatcher
         self.loop_monitor = loop_monitor
         self.connections = ConnectionTable(max_connections)
@@ -39,14 +39,14 @@
         """Whether the gateway reports itself as not ready because it is about to stop."""
         self.draining = False
         """Whether connections close as soon as they are idle."""
-        self._tenants = tenants
-        self._validator = RequestValidator(settings, tenants)
+        self._tenant_slots = tenant_slots
+        self._validator = RequestValidator(settings, tenant_slots)
         self._last_connection_number = 0
         self._open_request_ids: set[bytes] = set()  # X-Request-ID of each request without a response
 
     def on_settings(self, settings: Settings) -> None:
         """Apply new settings, also to the balancer."""
-        self._validator = RequestValidator(settings, self._tenants)
+        self._validator = RequestValidator(settings, self._tenant_slots)
         self.dispatcher.on_settings(settings)
 
     # Connections.
@@ -106,7 +106,7 @@
         """Whether the gateway can serve requests."""
         return self.dispatcher.has_endpoints and not self.shutting_down
 
-    def route(self, exchange: Exchange, request: ParsedRequest, arrived_ns: int) -> None:
+    def handle_request(self, exchange: Exchange, request: ParsedRequest, arrived_ns: int) -> None:
         """Handle a complete request that arrived at `arrived_ns` or later."""
         if request.method == b"GET" and request.target.split(b"?", 1)[0] == READINESS_PATH:
             self._respond_readiness(exchange)
@@ -133,8 +133,8 @@
             exchange.send_rejection(0)
             return
         connection.has_sent_valid_request = True
-        exchange.client_request_id = client_request.request_id
-        self._open_request_ids.add(client_request.request_id)
+        exchange.client_request_id = client_request.client_request_id
+        self._open_request_ids.add(client_request.client_request_id)
         exchange.request = self.dispatcher.accept_request(exchange, client_request, arrived_ns)
 
     def release_request_id(self, client_request_id: bytes) -> None:
@@ -149,14 +149,18 @@
 
     def _check_id_not_open(self, client_request: ClientRequest) -> None:
         """Reject an id that is already open, as two such requests would each be attempted and processed."""
-        if client_request.request_id in self._open_request_ids:
+        if client_request.client_request_id in self._open_request_ids:
             raise InvalidRequestError(400, "a request with this id is open", counter="id_in_use")
 
     def _respond_invalid(
         self, exchange: Exchange, request: ParsedRequest, error: InvalidRequestError, is_paced: bool
     ) -> None:
-        client_id = next((value for name, value in request.headers if name.lower() == b"x-request-id"), b"")
-        self.dispatcher.telemetry.count_invalid_request(exchange.connection_number, client_id, error.counter)
+        client_request_id = next(
+            (value for name, value in request.headers if name.lower() == b"x-request-id"), b""
+        )
+        self.dispatcher.telemetry.count_invalid_request(
+            exchange.connection_number, client_request_id, error.counter
+        )
         if is_paced:
             exchange.connection.defer_error(exchange)
         exchange.respond(error.status, [], error.body)
--- a/gateway/client/validation.py
+++ b/gateway/client/validation.py
@@ -7,7 +7,7 @@
 
 from balancer import MS, Idempotency, Settings
 
-from ..messages import HOP_BY_HOP_HEADERS, ClientRequest, Header, Payload
+from ..messages import UNFORWARDED_HEADERS, ClientRequest, Header, Payload
 from .errors import InvalidRequestError
 from .request_parser import ParsedRequest
 
@@ -36,19 +36,19 @@
 """Headers that must have a single value and that `Connection` cannot remove; in lower case."""
 TIMEOUT_HEADER = b"x-timeout-ms"
 """Not forwarded as received: each attempt writes its own value."""
-DEFAULT_DROPPED_HEADERS = HOP_BY_HOP_HEADERS - CHECKED_HEADERS | {TIMEOUT_HEADER}
+DEFAULT_DROPPED_HEADERS = UNFORWARDED_HEADERS - CHECKED_HEADERS | {TIMEOUT_HEADER}
 """Headers that are never forwarded, besides those that `Connection` headers name; in lower case."""
 
 
 class RequestValidator:
     """Validates parsed requests against the settings and converts them to `ClientRequest`."""
 
-    def __init__(self, settings: Settings, tenants: Mapping[bytes, int]) -> None:
-        """`tenants` maps tenant names to slots; its owner updates it in place."""
+    def __init__(self, settings: Settings, tenant_slots: Mapping[bytes, int]) -> None:
+        """`tenant_slots` maps tenant names to slots; its owner updates it in place."""
         self._class_indexes = {item.name.encode(): index for index, item in enumerate(settings.classes)}
         self._idempotency = [item.idempotency for item in settings.classes]
         self._max_timeouts_ns = [item.deadline_ns for item in settings.classes]
-        self._tenants = tenants
+        self._tenant_slots = tenant_slots
 
     def validate(self, request: ParsedRequest) -> ClientRequest:
         """Convert a parsed request to a `ClientRequest`.
@@ -65,15 +65,17 @@
         class_index = self._class_indexes[class_name]
         if not _is_method_allowed(request, self._idempotency[class_index], checked.get(b"idempotency-key")):
             raise InvalidRequestError(400, "the method, body or key is not that of the class")
-        request_id = _validated_request_id(checked)
-        tenant_index = self._tenants.get(checked.get(b"x-tenant-id", b""), -1 if self._tenants else 0)
+        client_request_id = _validated_request_id(checked)
+        tenant_index = self._tenant_slots.get(
+            checked.get(b"x-tenant-id", b""), -1 if self._tenant_slots else 0
+        )
         if tenant_index < 0:
             raise InvalidRequestError(400, "the tenant is missing or unknown")
         timeout_ms = checked.get(b"x-timeout-ms", b"")
         if not timeout_ms.isdigit():
             raise InvalidRequestError(400, "no usable time-out")
         return ClientRequest(
-            request_id=request_id,
+            client_request_id=client_request_id,
             class_index=class_index,
             tenant_index=tenant_index,
             routing_key=_parse_routing_key(checked.get(b"x-route-key", b"")),
@@ -115,10 +117,10 @@
 
 def _validated_request_id(checked: dict[bytes, bytes]) -> bytes:
     """Return the X-Request-ID; raises InvalidRequestError if it is missing or unusable."""
-    request_id = checked.get(b"x-request-id", b"")
-    if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES or not request_id.isascii():
+    client_request_id = checked.get(b"x-request-id", b"")
+    if not 0 < len(client_request_id) <= MAX_REQUEST_ID_BYTES or not client_request_id.isascii():
         raise InvalidRequestError(400, "no usable id")
-    return request_id
+    return client_request_id
 
 
 def _parse_routing_key(text: bytes) -> int:
--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -96,7 +96,7 @@
             arrived_ns,
             now + timeout_ns,
             Trace(
-                client_request.request_id,
+                client_request.client_request_id,
                 exchange.connection_number,
                 client_request.timeout_ns,
                 arrived_ns,
@@ -136,12 +136,12 @@
         """
         if request.is_ended:
             return
-        request.begin_client_closing()
+        request.mark_half_closed()
         request.trace.add_step(now_ns(), Phase.HALF_CLOSED)
         if not request.in_flight:
             self._fail_request(request, GatewayReason.CLIENT_CLOSING)
         elif not request.has_attempt_on_open_connection():
-            self._timers.call_at(request.new_attempts_until_ns, self._fail_if_unsent, request)
+            self._timers.call_at(request.client_check_from_ns, self._fail_if_unsent, request)
 
     def _fail_if_unsent(self, request: Request) -> None:
         if not request.is_ended and not request.has_attempt_on_open_connection():
@@ -237,7 +237,7 @@
 
     def _may_send(self, request: Request, number: int) -> bool:
         return (
-            not request.client_closing
+            not request.is_half_closed
             and self._may_start(request)
             and number < self._settings.limits.max_attempts
         )
@@ -246,16 +246,16 @@
     def _may_start(request: Request) -> bool:
         """Whether an attempt may start now; checked on creation and when its connection is established.
 
-        After `new_attempts_until_ns` this checks the client's socket, where an EOF may be unread, because
+        After `client_check_from_ns` this checks the client's socket, where an EOF may be unread, because
         something else was read first or because reading is paused.
         """
         if request.is_ended:
             return False
-        if now_ns() < request.new_attempts_until_ns:
+        if now_ns() < request.client_check_from_ns:
             return True
-        if not request.client_closing and request.client_has_ended():
-            request.begin_client_closing()
-        return not request.client_closing
+        if not request.is_half_closed and request.client_has_ended():
+            request.mark_half_closed()
+        return not request.is_half_closed
 
     def _on_attempt_ended(
         self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None
@@ -290,7 +290,7 @@
         if response is not None:
             request.end().send_response(response)
             self._record_response(request, CounterName.SERVED)
-        elif request.client_closing and not request.in_flight:
+        elif request.is_half_closed and not request.in_flight:
             self._send_failure(request, GatewayReason.CLIENT_CLOSING)
 
     # ---- Request actions -------------------------------------------------------------------------
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -7,9 +7,9 @@
 
 __all__ = [
     "EMPTY_PAYLOAD",
-    "HOP_BY_HOP_HEADERS",
     "LOAD_REPORT_HEADER",
     "MAX_BODY_BYTES",
+    "UNFORWARDED_HEADERS",
     "ClientRequest",
     "Header",
     "Payload",
@@ -19,7 +19,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 """Maximum length of a message body, bytes."""
-HOP_BY_HOP_HEADERS = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -72,7 +72,7 @@
 class ClientRequest:
     """A validated client request."""
 
-    request_id: bytes
+    client_request_id: bytes
     """Value of X-Request-ID, which identifies the request at all gateways."""
     class_index: int
     """Index in `Settings.classes`."""
--- a/gateway/request.py
+++ b/gateway/request.py
@@ -13,7 +13,7 @@
 
 __all__ = ["ClientExchange", "Request", "RequestState", "RequestStateError", "incoming_request"]
 
-NEW_ATTEMPT_WINDOW_NS = 50 * MS
+UNCHECKED_ATTEMPT_WINDOW_NS = 50 * MS
 """Time after a request's arrival, ns, within which attempts start without checking the client's socket.
 
 A later attempt starts only if the client has not sent EOF: the operators allow 0.1 s between a client's close
@@ -44,15 +44,15 @@
 class RequestState(Enum):
     """State of a request; only the transitions below are allowed.
 
-    OPEN -> CLIENT_CLOSING -> ENDED, or OPEN -> ENDED.
+    OPEN -> HALF_CLOSED -> ENDED, or OPEN -> ENDED.
     """
 
     OPEN = "open"
     """The client waits for its final response."""
-    CLIENT_CLOSING = "client_closing"
+    HALF_CLOSED = "client_closing"
     """The client has sent EOF: it may have disconnected or may still wait for its response.
 
-    No attempt is added; one whose connection is established within `NEW_ATTEMPT_WINDOW_NS` is still sent.
+    No attempt is added; one whose connection is established within `UNCHECKED_ATTEMPT_WINDOW_NS` is still sent.
     """
     ENDED = "ended"
     """The final response has been sent, or the client has disconnected."""
@@ -60,7 +60,7 @@
 
 # Module constants, as the lookup of an Enum member is slower and every request needs these.
 _OPEN = RequestState.OPEN
-_CLIENT_CLOSING = RequestState.CLIENT_CLOSING
+_HALF_CLOSED = RequestState.HALF_CLOSED
 _ENDED = RequestState.ENDED
 
 
@@ -74,10 +74,10 @@
     __slots__ = (
         "_exchange",
         "attempts_started",
+        "client_check_from_ns",
         "deadline_ns",
         "in_flight",
         "is_ended",
-        "new_attempts_until_ns",
         "payload",
         "request_id",
         "state",
@@ -98,7 +98,7 @@
         # None once ended: timers refer to a request until they expire and must not retain the connection.
         self._exchange: ClientExchange | None = exchange
         self.payload = payload
-        self.new_attempts_until_ns = arrived_ns + NEW_ATTEMPT_WINDOW_NS
+        self.client_check_from_ns = arrived_ns + UNCHECKED_ATTEMPT_WINDOW_NS
         self.deadline_ns = deadline_ns
         self.trace = trace
         self.state = _OPEN
@@ -108,19 +108,19 @@
         self.in_flight: dict[int, Attempt] = {}
 
     @property
-    def client_closing(self) -> bool:
+    def is_half_closed(self) -> bool:
         """Whether the client has sent EOF while the final response is still to be sent."""
-        return self.state is _CLIENT_CLOSING
+        return self.state is _HALF_CLOSED
 
     def client_has_ended(self) -> bool:
         """Whether the client has sent EOF or disconnected, read or unread; costs a system call."""
         return self._exchange is None or self._exchange.client_has_ended()
 
-    def begin_client_closing(self) -> None:
+    def mark_half_closed(self) -> None:
         """Record that the client has sent EOF; raises RequestStateError for a request that has ended."""
         if self.is_ended:
             raise RequestStateError(f"request {self.request_id} has ended")
-        self.state = RequestState.CLIENT_CLOSING
+        self.state = RequestState.HALF_CLOSED
 
     def end(self) -> ClientExchange:
         """End the request and return its exchange, on which the caller may send the final response.
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -172,9 +172,9 @@
         """Increment a counter, a `CounterName`, for a reason or outcome if any."""
         self._counts[name, detail] += 1
 
-    def record_lag(self, late_ns: int) -> None:
+    def record_lag(self, lag_ns: int) -> None:
         """Record how late a timer expired; the summary line reports the longest lag in its interval."""
-        self._max_lag_ns = max(self._max_lag_ns, late_ns)
+        self._max_lag_ns = max(self._max_lag_ns, lag_ns)
 
     def record_read_age(self, sock: socket.socket) -> None:
         """Record, for a sample of client reads, how long the data had waited unread in the socket."""
@@ -195,25 +195,27 @@
         if self._trace_count <= TRACES_PER_SUMMARY or self._trace_all:
             trace_log.info("%s", trace.line())
 
-    def count_invalid_request(self, connection: int, client_request_id: bytes, reason: str) -> None:
+    def count_invalid_request(self, connection_number: int, client_request_id: bytes, reason: str) -> None:
         """Count a request to which the gateway itself responded with an error."""
         self.count(CounterName.INVALID, reason)
         if self._trace_all:
             trace_log.info(
                 "invalid_request id=%s connection=%d reason=%s",
                 _decode(client_request_id),
-                connection,
+                connection_number,
                 reason,
             )
 
-    def count_closed_connection(self, connection: int, reason: CloseReason, is_incomplete: bool) -> None:
+    def count_closed_connection(
+        self, connection_number: int, reason: CloseReason, is_incomplete: bool
+    ) -> None:
         """Count a closed client connection; `is_incomplete`: a part of a request had been received on it."""
         self.count(CounterName.CLOSED, reason.value)
         if is_incomplete:
             self.count(CounterName.INCOMPLETE)
         if self._trace_all:
             trace_log.info(
-                "closed connection=%d reason=%s incomplete=%d", connection, reason.value, is_incomplete
+                "closed connection=%d reason=%s incomplete=%d", connection_number, reason.value, is_incomplete
             )
 
     def write_summary(self, now: int, **gauges: int) -> None:
--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -10,9 +10,9 @@
 
 from balancer import MS, SECOND
 
-__all__ = ["STALL_THRESHOLD_NS", "Timers", "now_ns"]
+__all__ = ["LATE_EXPIRY_THRESHOLD_NS", "Timers", "now_ns"]
 
-STALL_THRESHOLD_NS = 5 * MS
+LATE_EXPIRY_THRESHOLD_NS = 5 * MS
 """Lag of an expiry, ns, above which the event loop has stalled: it then reads before timers expire."""
 READ_DELAY_NS = 1 * MS
 """Delay of a late expiry, ns, long enough for the event loop to read from its sockets first."""
@@ -63,7 +63,7 @@
         lag_ns = now - self._loop_timer_due_ns
         if self.on_expiry is not None:
             self.on_expiry(lag_ns)
-        if lag_ns > STALL_THRESHOLD_NS and not self._is_delayed:
+        if lag_ns > LATE_EXPIRY_THRESHOLD_NS and not self._is_delayed:
             # The event loop expires timers before it reads, so that an attempt whose response waits in the
             # socket would time out.
             self._is_delayed = True
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -23,7 +23,7 @@
 """Headers that delimit the body; without them the body ends when the connection closes."""
 FIRST_FINAL_STATUS = 200
 """Lowest status of a final response; lower ones are interim (RFC 9110, 15.2)."""
-MAX_LENGTH_DIGITS = 20
+MAX_CONTENT_LENGTH_DIGITS = 20
 """Number of leading digits of Content-Length that are parsed: a number of that many digits is too large."""
 
 
@@ -197,4 +197,4 @@
 
 
 def _is_valid_content_length(value: bytes) -> bool:
-    return value.isdigit() and int(value[:MAX_LENGTH_DIGITS]) <= MAX_BODY_BYTES
+    return value.isdigit() and int(value[:MAX_CONTENT_LENGTH_DIGITS]) <= MAX_BODY_BYTES
--- a/tests/gateway/test_client_close.py
+++ b/tests/gateway/test_client_close.py
@@ -129,7 +129,7 @@
         client.send(request())
         forwarded = await endpoint.received.get()
         client.writer.write_eof()
-        await wait_until(lambda: harness.gateway.dispatcher.open_requests()[0].client_closing)
+        await wait_until(lambda: harness.gateway.dispatcher.open_requests()[0].is_half_closed)
         forwarded.reply()
         assert (await client.read_response())[::2] == (200, b"done")
 
@@ -259,7 +259,7 @@
         client.send(request(request_id="left"))
         connected = await connects.connected.get()
         close_client(client)
-        await wait_until(lambda: all(item.client_closing for item in dispatcher.open_requests()))
+        await wait_until(lambda: all(item.is_half_closed for item in dispatcher.open_requests()))
         simulate_stall(monkeypatch)
         connects.report_connected(*connected)
         assert not dispatcher.open_requests()
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -53,7 +53,7 @@
         received = await endpoint.received.get()
         client.writer.write_eof()
         await wait_until(
-            lambda: all(item.client_closing for item in harness.gateway.dispatcher.open_requests())
+            lambda: all(item.is_half_closed for item in harness.gateway.dispatcher.open_requests())
         )
         received.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
         assert (await client.read_response())[0] == 502
--- a/tests/gateway/test_request.py
+++ b/tests/gateway/test_request.py
@@ -45,13 +45,13 @@
 
 def test_a_client_close_can_be_recorded_repeatedly_but_not_after_the_end() -> None:
     request = make_open_request()
-    request.begin_client_closing()
-    request.begin_client_closing()
-    assert request.client_closing
+    request.mark_half_closed()
+    request.mark_half_closed()
+    assert request.is_half_closed
     request.end()
-    assert not request.client_closing
+    assert not request.is_half_closed
     with pytest.raises(RequestStateError):
-        request.begin_client_closing()
+        request.mark_half_closed()
 
 
 def test_the_table_is_full_by_count_or_by_bytes() -> None:
--- a/tests/gateway/test_timers.py
+++ b/tests/gateway/test_timers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from balancer import MS
-from gateway.timers import STALL_THRESHOLD_NS, Timers, now_ns
+from gateway.timers import LATE_EXPIRY_THRESHOLD_NS, Timers, now_ns
 
 
 class Reader(asyncio.Protocol):
@@ -31,7 +31,7 @@
         due_ns = now_ns() + MS
         timers.call_at(due_ns, order.append, "timer")
         timers.call_at(due_ns, lambda _: expired.set(), None)
-        while now_ns() <= due_ns + 2 * STALL_THRESHOLD_NS:
+        while now_ns() <= due_ns + 2 * LATE_EXPIRY_THRESHOLD_NS:
             pass
         writer.send(b"response")
 
