--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -50,7 +50,10 @@
 
 
 def main() -> int:
-    """Run the gateway; returns the exit code: 0 after SIGTERM, 2 if the configuration is not valid."""
+    """Run the gateway and return the exit code.
+
+    It is 0 after a graceful shutdown (SIGTERM or SIGINT), 2 if the configuration is not valid.
+    """
     handler = logging.StreamHandler()
     handler.addFilter(LogRateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s %(message)s")
--- a/gateway/client/admission.py
+++ b/gateway/client/admission.py
@@ -21,9 +21,9 @@
     """All open connections, with the evictable ones grouped by how they have been used.
 
     A new connection above the limit replaces an existing one that has no open request.  Evicted first are
-    connections that have sent only health checks and invalid requests, then those that never sent anything,
-    then those whose first request stays incomplete, and last those that have sent a valid request.  With this
-    order, many useless connections cannot displace the useful ones.
+    connections that have sent only readiness checks and invalid requests, then those that never sent
+    anything, then those whose first request stays incomplete, and last those that have sent a valid request.
+    With this order, many useless connections cannot displace the useful ones.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -75,7 +75,7 @@
             connection.close_if_idle(reason)
 
     def close_idle(self, reason: CloseReason) -> None:
-        """Close all connections that have no pending response."""
+        """Close all connections that have no open or partly received request."""
         for connection in list(self._connections):
             connection.close_if_idle(reason)
 
--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -36,7 +36,7 @@
         self.number = server.next_connection_number()
         """Connection number used in the log."""
         self.waiting_since_ns = now_ns()
-        """Start of the current wait, ns: for a request, for the client to read, or for its close."""
+        """Start of the current wait, ns: for a request, or for the client to read its responses or to close."""
         self.has_sent_valid_request = False
         """Whether at least one request has passed all checks."""
         self.is_over_limit = False
@@ -56,7 +56,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register an accepted connection."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        self._transport = cast(asyncio.Transport, transport)  # not a subclass in uvloop
         now = now_ns()
         earliest_connect_ns = self._server.loop_monitor.earliest_connect(now)
         # Must precede on_connected, which may close the connection at once when no slot is free.
@@ -130,7 +130,7 @@
     # Parser callbacks.
 
     def on_request(self, request: ParsedRequest) -> None:
-        """Queue and route a complete request."""
+        """Queue a complete request and pass it to the server."""
         if not self._lifecycle.is_open:
             return
         if not request.keep_alive:
@@ -145,7 +145,7 @@
                 exchange.send_failure()
 
     def on_expect_continue(self) -> None:
-        """Send 100 Continue, unless requests are open: behind those it would be taken for a response."""
+        """Send 100 Continue, unless earlier requests are open: it would be taken for one of their responses."""
         if self._transport is not None and not self.queue:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -179,11 +179,11 @@
         )
 
     def stop_reading_requests(self) -> None:
-        """Accept no further request: the next response closes the connection."""
+        """Accept no further request, as the response about to be written closes the connection."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
 
     def release_request_id(self, client_request_id: bytes) -> None:
-        """Allow the id of a request that has its response to be used again."""
+        """Allow the X-Request-ID of an answered request to be used again."""
         self._server.release_request_id(client_request_id)
 
     def defer_error(self, exchange: Exchange) -> None:
@@ -218,7 +218,7 @@
         self._resume_reading()
 
     def sweep(self, now: int) -> None:
-        """Periodic maintenance: release deferred errors, detect closed clients, enforce the timeouts."""
+        """Release deferred errors, detect closed clients and enforce the timeouts; called periodically."""
         if self._transport is None:
             return
         # Must precede the flush, which resumes reading only after a flood of invalid requests is over.
@@ -229,7 +229,7 @@
         self._enforce_timeouts(now)
 
     def close(self, reason: CloseReason) -> None:
-        """Close immediately, without a response."""
+        """Close the connection without a further response, once the buffered data is written."""
         if self._transport is not None:
             self._close_reason = reason
             self._transport.close()
@@ -277,10 +277,11 @@
         if last is None:
             self._close_write_side()
         else:
-            last.closes_connection = True  # when written: it may be deferred or queued behind other responses
+            # The connection closes once this response is written, which may be deferred or behind others.
+            last.closes_connection = True
 
     def _respond_closing_error(self, error: InvalidRequestError) -> None:
-        """Queue an error response that closes the connection, as message framing is lost."""
+        """Queue an error response that closes the connection, as the rest of the request is not read."""
         self._lifecycle.handle(ConnectionEvent.LAST_REQUEST)
         exchange = Exchange(self, closes_connection=True)
         self.queue.append(exchange)
--- a/gateway/client/connection_state.py
+++ b/gateway/client/connection_state.py
@@ -65,7 +65,8 @@
     _State.LINGERING: {
         _Event.LAST_REQUEST: _State.LINGERING,
         _Event.CLIENT_ENDED: _State.BOTH_ENDED,
-        _Event.GATEWAY_ENDED: _State.LINGERING,  # an upgrade request answered with a closing error response
+        # A second time: an upgrade request was answered with an error response that closes the connection.
+        _Event.GATEWAY_ENDED: _State.LINGERING,
         _Event.LOST: _State.CLOSED,
     },
     _State.BOTH_ENDED: {
--- a/gateway/client/errors.py
+++ b/gateway/client/errors.py
@@ -11,7 +11,8 @@
     def __init__(self, status: int, reason: str, counter: str = "") -> None:
         """`status` is the response status, `reason` the response body without the final newline.
 
-        `counter` is the name under which the summary line counts the error; by default derived from `reason`.
+        `counter` is the detail under which the summary line counts an invalid request, by default derived
+        from `reason`.  Parse errors are not counted.
         """
         super().__init__(reason)
         self.status = status
--- a/gateway/client/exchange.py
+++ b/gateway/client/exchange.py
@@ -55,7 +55,7 @@
         return self.connection.number
 
     def client_has_ended(self) -> bool:
-        """Whether the client has sent EOF or disconnected, read or not; costs a system call."""
+        """Whether the client has sent EOF or disconnected, even if that is unread; may cost a system call."""
         return self.connection.client_has_ended()
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
--- a/gateway/client/read_control.py
+++ b/gateway/client/read_control.py
@@ -22,7 +22,7 @@
         self._unread_since_ns = 0  # 0 if the next bytes read have just arrived
         self.is_paused = False
         self.client_ended_while_paused = False
-        """Whether an unread EOF was pending when reading resumed: the client may have left long ago."""
+        """Whether an EOF was unread when reading resumed: the client may have disconnected long ago."""
 
     def attach(self, transport: asyncio.Transport, earliest_connect_ns: int, now: int) -> None:
         """Start with a connection accepted at `now` and established at `earliest_connect_ns` or later."""
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -1,7 +1,7 @@
 """Parses the requests of one connection and enforces the size limits on heads and bodies.
 
-The httptools callbacks only record what they receive.  An exception raised in a callback would be lost, as
-the parser reports it as malformed input; errors are therefore stored and read after `feed`.
+The httptools callbacks must not raise: httptools would report the exception as malformed input.  Errors are
+therefore stored in `error` and read after `feed`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 MAX_HEADERS = 100
 """Maximum number of request headers."""
 MAX_CONTENT_LENGTH_DIGITS = 20
-"""Digits of Content-Length that are converted: more exceed any limit and are slow to convert."""
+"""Number of leading digits of Content-Length that are converted: a longer number exceeds the limit, unless it
+begins with zeros, and converting it is slow."""
 
 
 class ParsedRequest(NamedTuple):
@@ -38,10 +39,10 @@
     """Receives the events of a request parser."""
 
     def on_request(self, request: ParsedRequest) -> None:
-        """A request is complete."""
+        """Handle a complete request."""
 
     def on_expect_continue(self) -> None:
-        """The client waits for 100 Continue before it sends its body (RFC 9110, 10.1.1)."""
+        """Send 100 Continue, for which the client waits before it sends its body (RFC 9110, 10.1.1)."""
 
 
 class RequestParser:
--- a/gateway/client/response_queue.py
+++ b/gateway/client/response_queue.py
@@ -2,8 +2,8 @@
 
 Responses to invalid requests are paced to limit the cost of a client that sends an invalid request as soon as
 it receives each error.  One error per sweep interval is sent at once, and the next waits for the sweep.
-Reading continues, as a valid request may follow on the same connection.  Only when so many invalid requests
-are pipelined that they fill the queue does reading pause until the sweep.
+Reading continues, as a valid request may follow on the same connection; it pauses until the sweep only if a
+pipelined invalid request overfills the queue.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         super().__init__()
         self._error_sent = False  # whether an invalid request has got its response since the last sweep
         self.is_flooded = False
-        """Whether more invalid requests arrived since the last sweep than the queue holds."""
+        """Whether an invalid request has overfilled the queue since the last sweep."""
 
     def pop_ready(self) -> Exchange | None:
         """Remove and return the first exchange if its response can be written now, else None."""
--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -1,4 +1,4 @@
-"""Manages all client connections: routes their requests and shuts down gracefully."""
+"""Manages all client connections: handles their requests and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
         exchange.request = self.dispatcher.accept_request(exchange, client_request, arrived_ns)
 
     def release_request_id(self, client_request_id: bytes) -> None:
-        """Allow the id of a finished request to be used again."""
+        """Allow the X-Request-ID of a request that is answered or whose client is gone to be used again."""
         self._open_request_ids.discard(client_request_id)
 
     def _respond_readiness(self, exchange: Exchange) -> None:
@@ -148,7 +148,7 @@
             exchange.respond(503, [], b"not ready\n")
 
     def _check_id_not_open(self, client_request: ClientRequest) -> None:
-        """Reject an id that is already open, as two such requests would each be attempted and processed."""
+        """Reject a request whose X-Request-ID is already open, as both requests would be processed."""
         if client_request.client_request_id in self._open_request_ids:
             raise InvalidRequestError(400, "a request with this id is open", counter="id_in_use")
 
@@ -170,9 +170,10 @@
     def begin_shutdown(self) -> None:
         """Become not ready at once, and close idle connections that have received no valid request.
 
-        The other connections stay open for now: or no gateway might serve while the front end looks for
-        another one, or while the gateway that stopped before is not back.  The cost is that clients of a slow
-        gateway stay with it for a second longer even if all other gateways are up.
+        The other connections stay open until the drain.  Otherwise no gateway might serve while the clients
+        look for another one, or while the gateway that was restarted before this one is not ready yet.  The
+        cost is that clients of a slow gateway stay with it for a second longer, even if all other gateways
+        are ready.
         """
         self.shutting_down = True
         self.connections.close_unvalidated(CloseReason.SHUTDOWN)
@@ -184,10 +185,10 @@
 
 
 def _rejection_reason(connection: ClientConnection) -> GatewayReason | None:
-    """Why a valid request is rejected without being forwarded; None if it is accepted."""
+    """Return why a valid request is rejected without being forwarded; None if it is accepted."""
     if connection.queue.is_overfull:  # well-behaved clients send one request at a time
         return GatewayReason.PIPELINE_FULL
-    if connection.reading.client_ended_while_paused:  # the client may have left long ago
+    if connection.reading.client_ended_while_paused:  # the client may have disconnected long ago
         return GatewayReason.LATE_READ
     if connection.is_over_limit:
         return GatewayReason.NO_CONNECTION_SLOT
--- a/gateway/client/timeouts.py
+++ b/gateway/client/timeouts.py
@@ -11,7 +11,7 @@
 margin allows for a sweep that runs late by one interval."""
 FIRST_REQUEST_TIMEOUT_NS = 500 * MS
 """Time after connecting, ns, after which a connection with an incomplete first request may be evicted:
-well-behaved clients send the request at once and complete."""
+well-behaved clients send the complete request at once."""
 IDLE_TIMEOUT_NS = 2 * SECOND
 """Idle time, ns, after which a connection closes: many clients send one request and never close."""
 LINGER_TIMEOUT_NS = 1 * SECOND
--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -78,7 +78,7 @@
     def read_in_steps(
         cls, environ: Mapping[str, str], is_reload: bool = False
     ) -> Generator[None, None, Configuration]:
-        """Read the file without decoding its tenant rows; each step takes one turn of the event loop.
+        """Read the file without decoding its tenant rows; each step takes one iteration of the event loop.
 
         On a reload, the discovery address in the file takes precedence over EDGE_DISCOVERY, as it is newer.
 
@@ -133,7 +133,7 @@
         )
 
     def changes_that_need_restart(self, current: Configuration) -> list[str]:
-        """Names of the settings that differ from `current` and take effect only on a restart."""
+        """Return the names of the settings that differ from `current` and take effect only on a restart."""
         current_values = current.fixed_values()
         return [name for name, value in self.fixed_values().items() if current_values[name] != value]
 
--- a/gateway/configuration_error.py
+++ b/gateway/configuration_error.py
@@ -18,7 +18,7 @@
 
 @contextmanager
 def as_configuration_error() -> Generator[None, None, None]:
-    """Convert any exception raised by reading or parsing a file into ConfigurationError."""
+    """Convert the exceptions that reading and parsing a configuration may raise to ConfigurationError."""
     try:
         yield
     except KeyError as error:
--- a/gateway/control_plane.py
+++ b/gateway/control_plane.py
@@ -54,7 +54,7 @@
         self._load_reports = LoadReportParser(load_report_columns, settings.load_report_fields)
         self.gossip_socket: GossipSocket | None = None
         self.has_endpoints = False
-        """Whether an endpoint list with at least one entry has been received."""
+        """Whether any endpoint list or delta so far had at least one entry; the cached list counts too."""
 
     def attach(self, upstream: Upstream, discovery: Discovery) -> None:
         """Set the targets of the actions on endpoints and discovery; called once, before the first event."""
@@ -68,7 +68,7 @@
     # ---- Events ----------------------------------------------------------------------------------
 
     def on_endpoint_list(self, kind: UpdateKind, listed: list[ListedEndpoint]) -> None:
-        """Handle a delta or a snapshot from discovery, or the failure of a discovery call.
+        """Handle the cached list, a snapshot or a delta from discovery, or the failure of a discovery call.
 
         Connections are updated before the balancer is notified, so that attempts that it starts in response
         go to the current endpoints.
--- a/gateway/discovery/call.py
+++ b/gateway/discovery/call.py
@@ -24,17 +24,17 @@
 HEARTBEAT_INTERVAL_NS = 2 * SECOND
 """Interval at which discovery sends an empty line while nothing changes."""
 READ_TIMEOUT_NS = HEARTBEAT_INTERVAL_NS * 3 // 2
-"""Maximum time without data on a watch: one heartbeat was missed and half of the next interval has passed.
-The gateway counts as notified of missed changes 6 s after the last data, and in the rest of that time the
-balancer still has to delay its next call by a random time and wait for its turn at discovery."""
+"""Maximum time without data on a watch: one and a half heartbeat intervals.  The gateway counts as notified
+of missed changes 6 s after the last data; the remaining 3 s are for the random delay of the balancer's next
+call and for the time that the call queues at discovery."""
 RESPONSE_TIMEOUT_NS = 4 * SECOND
-"""Maximum wait for the first bytes.  Discovery serves all gateways, so a call may have to wait for its turn;
-a discovery that no longer responds looks the same.  The gateway counts as notified of missed changes 6 s
-after discovery stopped responding, so this leaves time for another call."""
+"""Maximum time from the start of the call to the first bytes.  Discovery serves all gateways, so a call may
+queue there, which cannot be distinguished from a failure of discovery.  The gateway counts as notified of
+missed changes 6 s after discovery stopped responding; the remaining time is for another call."""
 CONNECT_TIMEOUT_NS = 1 * SECOND
 """Maximum time to establish the connection."""
 PARTIAL_OBJECT_TIMEOUT_NS = SECOND // 2
-"""Maximum time between two lines of a multi-line object; after that the object counts as truncated."""
+"""Maximum time without data within a multi-line object; after that the call has timed out."""
 MAX_LINE_BYTES = 8 * 1024 * 1024
 """Maximum length of a line or of a multi-line object."""
 
@@ -57,7 +57,7 @@
     address_version: int
     """Incremented with each change of the address."""
     generation: int
-    """The last generation received from `address`; 0 if there is none."""
+    """The last generation, cached or received, as numbered by `address`; 0 for none."""
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> bool:
         """Handle the JSON text of an update; returns False if it is incomplete and more lines must follow."""
@@ -98,7 +98,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request, unless the call was closed in the meantime."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't derive from it
+        self._transport = cast(asyncio.Transport, transport)  # not a subclass in uvloop
         if self.is_closed:
             self._transport.abort()
             return
@@ -154,7 +154,7 @@
         self._response.release()
 
     def has_timed_out(self, now: int) -> bool:
-        """Whether the call has timed out; a peer that is gone need not have closed the connection."""
+        """Whether the call has timed out: a peer may fail without closing the connection."""
         if self.state is CallState.CONNECTING:
             return now - self._started_ns > CONNECT_TIMEOUT_NS
         if self.state is CallState.AWAITING_RESPONSE:
--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -85,7 +85,10 @@
             self.watch(True)
 
     def watch(self, active: bool) -> None:
-        """Open the watch unless it is open, or close it; a second one would only cost bandwidth."""
+        """Open a watch on the current address, or close all watches if not `active`.
+
+        If there is a watch on that address, none is opened: a second one would only cost bandwidth.
+        """
         if active and self.current_watch is None and self._replacement_watch is None:
             self.current_watch = self._call(True)
         elif active:
@@ -100,15 +103,16 @@
             self._fetch_call = self._call(False)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Switch to another address; the old watch stays open until the first update of the new one.
+        """Switch to another address, or reconnect to the same one if no watch is open.
 
-        The new watch starts at generation 0, because generations of different addresses are not comparable.
+        The old watch stays open until the first update on the new one.  The new watch starts at generation 0,
+        because generations of different addresses are not comparable.
         """
         if address == self.address and (
             self.current_watch is not None or self._replacement_watch is not None
         ):
             return
-        log.info("discovery address changed to %s:%d", *address)
+        log.info("connecting to discovery at %s:%d", *address)
         self.address, self.address_changed_ns, self.generation = address, now_ns(), 0
         self.address_version += 1
         if self._fetch_call is not None:
--- a/gateway/discovery/response_reader.py
+++ b/gateway/discovery/response_reader.py
@@ -56,11 +56,11 @@
         del self._parser
 
     def on_headers_complete(self) -> None:
-        """Called when the head is complete."""
+        """Store the status of the response."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Called for each piece of the body."""
+        """Append a part of the body, and split off the complete lines."""
         self._buffer += body
         if self._splits_lines and b"\n" in body:
             *lines, partial_line = bytes(self._buffer).split(b"\n")
@@ -68,5 +68,5 @@
             self._buffer = bytearray(partial_line)
 
     def on_message_complete(self) -> None:
-        """Called when the body is complete."""
+        """Mark the response as complete."""
         self.is_complete = True
--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -123,16 +123,17 @@
         self.telemetry.count(CounterName.CLIENT_GONE, "overdue" if is_overdue else "")
         request.trace.add_step(now, Phase.CLIENT_GONE)
         self.telemetry.finish_trace(request.trace, is_overdue)
-        # Queued before the attempts are cancelled, whose results then follow the end of the request.
+        # Queued before the attempts are cancelled, so that their results follow the end of the request.
         self._events.add(lambda now: self.balancer.on_client_gone(now, request.request_id), request)
         self._clean_up(request)
 
     def on_client_half_closed(self, request: Request) -> None:
         """Handle a client that has sent EOF.
 
-        It may have disconnected or may still wait for its response; the gateway cannot tell which.  It
-        therefore gets the response of an attempt in flight, but no new attempt starts for it: one that waits
-        for its connection is sent only if that is established within the window for new attempts.
+        The client may have disconnected or may still wait for its response; the gateway cannot tell which.
+        The response of an attempt in flight is therefore sent to it, but no new attempt starts.  An attempt
+        that still waits for its connection is sent only if the connection is established within
+        `UNCHECKED_ATTEMPT_WINDOW_NS` of the request's arrival.
         """
         if request.is_ended:
             return
@@ -246,8 +247,8 @@
     def _may_start(request: Request) -> bool:
         """Whether an attempt may start now; checked on creation and when its connection is established.
 
-        After `client_check_from_ns` this checks the client's socket, where an EOF may be unread, because
-        something else was read first or because reading is paused.
+        From `client_check_from_ns` on, the client's socket is checked for an EOF that the event loop has not
+        read yet: it may be behind unread bytes, or reading may be paused.
         """
         if request.is_ended:
             return False
@@ -284,7 +285,11 @@
             self._clean_up(request)
 
     def _respond(self, request: Request, response: Response | None) -> None:
-        """Send the final response if the end of an attempt decides it: the first served response is final."""
+        """Send the final response if there is one.
+
+        It is the first response with outcome OK, or a failure if the client has sent EOF and no attempt is
+        left.
+        """
         if request.is_ended:
             return
         if response is not None:
--- a/gateway/gossip.py
+++ b/gateway/gossip.py
@@ -35,7 +35,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the open socket."""
-        self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop's transports have another base
+        self._transport = cast(asyncio.DatagramTransport, transport)  # not a subclass in uvloop
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
         """Handle a datagram; IPv6 addresses have further elements after host and port."""
@@ -48,7 +48,7 @@
         log.info("gossip datagram could not be delivered: %s", exc)
 
     def send(self, peer: int | None, content: bytes) -> None:
-        """Send to one peer, or to all with None; logs and drops a message too long or without an address."""
+        """Send to one peer, or to all for None; log and drop a message too long or without a destination."""
         destination = self._destination(peer)
         if self._transport is None or destination is None or len(content) > MAX_MESSAGE_BYTES:
             log.error("gossip message to peer %s cannot be sent", peer)
--- a/gateway/loop_monitor.py
+++ b/gateway/loop_monitor.py
@@ -24,7 +24,8 @@
 """Event loop iterations after a late heartbeat in which old data may still be read: one accepts the new
 connections, another reads their data, and the loop may have stalled just before either."""
 MAX_BACKLOG_NS = 100 * MS
-"""Upper bound of the time, ns, that accepting the connections of a stall takes, over several iterations."""
+"""Longest time after a stall, ns, in which accepted connections are assumed to have been established during
+it: accepting them takes several iterations."""
 
 
 class LoopMonitor:
@@ -35,13 +36,13 @@
         self._timers = timers
         self._last_heartbeat_ns = now_ns()
         self._backlog_from_ns = 0  # earliest connect time of connections accepted now, ns; 0 without a stall
-        self._backlog_until_ns = 0  # latest end of the use of `_backlog_from_ns`, ns
+        self._backlog_until_ns = 0  # time at which `_backlog_from_ns` is reset at the latest, ns
         self._iterations = 0  # event loop iterations since the late heartbeat
-        self._last_accept_iteration = 0  # the last of these that accepted a connection
+        self._last_accept_iteration = 0  # value of `_iterations` when a connection was last accepted
         timers.call_after(HEARTBEAT_INTERVAL_NS, self._on_heartbeat, None)
 
     def earliest_arrival(self, now: int) -> int:
-        """Return the earliest possible arrival, ns, of data read at `now`: `now` unless after a stall."""
+        """Return the earliest possible arrival, ns, of data read at `now`; `now` if the loop has not stalled."""
         late_ns = now - self._last_heartbeat_ns - HEARTBEAT_INTERVAL_NS
         return now if late_ns <= HEARTBEAT_TOLERANCE_NS else self._last_heartbeat_ns
 
--- a/gateway/messages.py
+++ b/gateway/messages.py
@@ -34,8 +34,8 @@
         b"proxy-connection",
     )
 )
-"""Headers that are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1) and those that the gateway generates
-itself; in lower case."""
+"""Headers that are not forwarded, in lower case: hop-by-hop headers (RFC 9110, 7.6.1), Content-Length, which
+the gateway writes itself, and Expect, which it answers itself."""
 LOAD_REPORT_HEADER = b"x-server-load"
 """Response header with the endpoint's load report; in lower case."""
 
--- a/gateway/reload.py
+++ b/gateway/reload.py
@@ -90,7 +90,7 @@
         except StopIteration:
             self._end()
         except ConfigurationError as error:
-            log.error("EDGE_CONFIG: %s; the old configuration stays", error)
+            log.error("EDGE_CONFIG: %s; keeping the current configuration", error)
             self._end()
         except Exception:  # without this, later signals would have no effect
             log.exception("EDGE_CONFIG could not be applied")
@@ -118,7 +118,7 @@
         self._discovery.change_address(configuration.discovery_address)
         if names := configuration.changes_that_need_restart(current):
             log.error(
-                "EDGE_CONFIG: %s: a change needs a restart; the settings in force stay", ", ".join(names)
+                "EDGE_CONFIG: %s: a change requires a restart; keeping the current settings", ", ".join(names)
             )
             return
         self.state = ReloadState.APPLYING
@@ -138,7 +138,7 @@
     @staticmethod
     def _log_result(difference: TenantDifference, started_ns: int) -> None:
         log.info(
-            "settings in force: %d tenants added, %d changed, %d removed, in %d ms",
+            "settings applied: %d tenants added, %d changed, %d removed, in %d ms",
             len(difference.added),
             len(difference.changed),
             len(difference.removed),
--- a/gateway/request.py
+++ b/gateway/request.py
@@ -16,8 +16,8 @@
 UNCHECKED_ATTEMPT_WINDOW_NS = 50 * MS
 """Time after a request's arrival, ns, within which attempts start without checking the client's socket.
 
-A later attempt starts only if the client has not sent EOF: the operators allow 0.1 s between a client's close
-and the last attempt for it.
+A later attempt starts only if the client has not sent EOF: the operators allow the last attempt for a
+client to start at most 0.1 s after its close.
 """
 
 
@@ -29,7 +29,7 @@
         """Number of the client connection, for the log."""
 
     def client_has_ended(self) -> bool:
-        """Whether the client has sent EOF or disconnected, read or unread; costs a system call."""
+        """Whether the client has sent EOF or disconnected, even if that is unread; may cost a system call."""
 
     def send_response(self, response: Response) -> None:
         """Forward the response of an endpoint to the client."""
@@ -52,7 +52,8 @@
     HALF_CLOSED = "client_closing"
     """The client has sent EOF: it may have disconnected or may still wait for its response.
 
-    No attempt is added; one whose connection is established within `UNCHECKED_ATTEMPT_WINDOW_NS` is still sent.
+    No new attempt is started.  An attempt in flight is still sent if its connection is established within
+    `UNCHECKED_ATTEMPT_WINDOW_NS` of the request's arrival.
     """
     ENDED = "ended"
     """The final response has been sent, or the client has disconnected."""
@@ -113,7 +114,7 @@
         return self.state is _HALF_CLOSED
 
     def client_has_ended(self) -> bool:
-        """Whether the client has sent EOF or disconnected, read or unread; costs a system call."""
+        """Whether the client has sent EOF or disconnected, even if that is unread; may cost a system call."""
         return self._exchange is None or self._exchange.client_has_ended()
 
     def mark_half_closed(self) -> None:
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -17,13 +17,13 @@
 ACCEPT_TIME_NS = 600 * MS
 """Time after SIGTERM in which connections are accepted, ns: clients keep connecting for up to 0.4 s."""
 MAX_SERVE_TIME_NS = 1500 * MS
-"""Longest time after SIGTERM in which requests on open connections are served, ns: in a rolling restart the
-gateway that was stopped before may not be ready yet."""
+"""Longest time after SIGTERM in which new requests on open connections are admitted, ns: in a rolling restart
+the gateway that was stopped before this one may not be ready yet."""
 MAX_SHUTDOWN_TIME_NS = 3200 * MS
 """Time from SIGTERM to the end of the process, ns, even if requests are still open."""
 DEADLINE_MARGIN_NS = 400 * MS
-"""Time from the longest request deadline to the end of the process, ns, if that comes before
-`MAX_SHUTDOWN_TIME_NS`: SIGKILL follows 0.7 s after that deadline, which is at most 3 s."""
+"""Time from the longest request deadline to the end of the process, ns, unless `MAX_SHUTDOWN_TIME_NS` ends it
+earlier: SIGKILL follows 0.7 s after the longest deadline, and no deadline exceeds 3 s."""
 LAST_REQUEST_MARGIN_NS = 800 * MS
 """Time from the last admitted request to the end of the process, ns."""
 CHECK_INTERVAL_NS = 20 * MS
@@ -36,7 +36,8 @@
     RUNNING = "running"
     """No shutdown is in progress."""
     ACCEPTING = "accepting"
-    """Health checks fail, connections that carried only health checks are closed, new ones are accepted."""
+    """Readiness checks fail, idle connections that have sent only readiness checks or invalid requests are
+    closed, and new connections are accepted."""
     SERVING = "serving"
     """No new connections are accepted; requests on open connections are still admitted."""
     DRAINING = "draining"
@@ -96,7 +97,7 @@
         self._schedule = ShutdownSchedule.for_settings(settings)
 
     def begin(self) -> None:
-        """Begin a shutdown: health checks fail at once, requests are still served for a while."""
+        """Begin a shutdown: readiness checks fail at once, and requests are served for some time."""
         if self.phase is not ShutdownPhase.RUNNING:
             return
         self.phase = ShutdownPhase.ACCEPTING
--- a/gateway/sockets.py
+++ b/gateway/sockets.py
@@ -1,4 +1,4 @@
-"""System calls on a transport's socket, for what the event loop reports or does too late or not at all."""
+"""System calls on a transport's socket, where the event loop has no function for them or acts too late."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def shut_down(transport: asyncio.Transport | None) -> None:
-    """Shut the connection down at once; the transport closes its socket only in the next event loop turn."""
+    """Shut the connection down at once; the transport closes its socket only in the next loop iteration."""
     transport_socket = transport.get_extra_info("socket") if transport is not None else None
     if transport_socket is None or transport_socket.fileno() < 0:
         return
@@ -58,7 +58,7 @@
 
 @contextmanager
 def _raw_socket(transport_socket: socket.socket) -> Generator[socket.socket, None, None]:
-    """A socket object for a transport's descriptor, which stays open afterwards.
+    """Yield a socket object for a transport's descriptor, which stays open afterwards.
 
     The object that the event loop provides lacks the methods needed here.
     """
--- a/gateway/telemetry.py
+++ b/gateway/telemetry.py
@@ -1,7 +1,8 @@
 """Counters, request traces and the summary line that is logged once a second.
 
-On the request path each function costs a dictionary update or a list append.  Log lines are written only for
-requests that end abnormally, and once a second for the gateway.
+On the request path each call costs a dictionary update or a list append; only a few sampled reads per second
+cost a system call.  Log lines are written once a second for the gateway, and for requests that end
+abnormally; with EDGE_TRACE=all for every request and every closed client connection.
 """
 
 from __future__ import annotations
@@ -25,13 +26,14 @@
 SUMMARY_INTERVAL_NS = 1 * SECOND
 """Time between two summary lines, ns."""
 TRACES_PER_SUMMARY = 20
-"""Maximum of request traces written between two summary lines, to bound the log if many requests fail."""
+"""Maximum number of request traces between two summary lines, to bound the log if many requests fail."""
 AGE_SAMPLES_PER_SUMMARY = 16
-"""Maximum of reads between two summary lines whose data age is queried, as a query is a system call."""
+"""Maximum number of reads between two summary lines for which the age of the data is queried, which takes a
+system call."""
 LAST_DATA_RECV_OFFSET = 52
 """Offset of `tcpi_last_data_recv` in Linux's `struct tcp_info` (linux/tcp.h): ms since data last arrived."""
 TRACE_VARIABLE = "EDGE_TRACE"
-"""Environment variable; its value `all` has every request traced, without a limit."""
+"""Environment variable; if its value is `all`, every request is traced, without a limit."""
 
 
 class Phase(Enum):
@@ -53,17 +55,18 @@
     PIPELINE_FULL = "pipeline_full"
     """Too many requests are open on one connection."""
     LATE_READ = "late_read"
-    """The client's timeout had expired when the request was read; the client may have disconnected."""
+    """The client's timeout had expired when the request was read, or the client had sent EOF while reading
+    was paused; it may have disconnected."""
     NO_CONNECTION_SLOT = "no_connection_slot"
     """Its connection exceeds the limit on client connections."""
     BALANCER_TIMEOUT = "balancer_timeout"
     """The balancer had not ended it shortly before the client's deadline."""
     CLIENT_CLOSING = "client_closing"
-    """The client has sent EOF, and no attempt is in flight."""
+    """The client has sent EOF, and no attempt is in flight on an established connection."""
     BALANCER_ERROR = "balancer_error"
     """The balancer raised an exception."""
     SHUTDOWN = "shutdown"
-    """The process had to exit."""
+    """The request was still open at the time limit of the graceful shutdown."""
 
 
 class CounterName:
@@ -84,8 +87,10 @@
     ATTEMPT: Final = "attempt"
     """Ended attempts, by outcome."""
     RETRY: Final = "retry"
+    """Attempts after the first one of a request, also those that are not sent."""
     INVALID: Final = "invalid"
-    """Requests to which the gateway itself responded with an error."""
+    """Complete requests that the gateway answered with a 4xx status of its own, by reason.  Requests that
+    cannot be parsed are not counted."""
     CLOSED: Final = "closed"
     """Client connections closed, by reason."""
     INCOMPLETE: Final = "incomplete"
@@ -169,7 +174,7 @@
         self._trace_all = os.environ.get(TRACE_VARIABLE) == "all"
 
     def count(self, name: str, detail: str = "") -> None:
-        """Increment a counter, a `CounterName`, for a reason or outcome if any."""
+        """Increment the counter `name`, a `CounterName`; `detail` is the reason or outcome, if any."""
         self._counts[name, detail] += 1
 
     def record_lag(self, lag_ns: int) -> None:
@@ -196,7 +201,7 @@
             trace_log.info("%s", trace.line())
 
     def count_invalid_request(self, connection_number: int, client_request_id: bytes, reason: str) -> None:
-        """Count a request to which the gateway itself responded with an error."""
+        """Count a complete request that the gateway answered with a 4xx status of its own."""
         self.count(CounterName.INVALID, reason)
         if self._trace_all:
             trace_log.info(
--- a/gateway/tenant_table.py
+++ b/gateway/tenant_table.py
@@ -1,7 +1,7 @@
 """The table of tenants, and its update from a new configuration file while requests are served.
 
 A file may contain a hundred thousand tenants.  Its rows are therefore compared, decoded and applied in steps,
-each of which takes one turn of the event loop, and only changed rows are decoded.
+each of which takes one iteration of the event loop, and only changed rows are decoded.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 __all__ = ["NO_TENANT", "ROWS_PER_STEP", "Steps", "TenantChanges", "TenantDifference", "TenantTable"]
 
 ROWS_PER_STEP = 256
-"""Rows that are compared, decoded or applied in one turn of the event loop; takes about 0.2 to 1 ms."""
+"""Rows that are compared, decoded or applied in one iteration of the event loop, which takes 0.2 to 1 ms."""
 NO_TENANT = Tenant("")
 """Placeholder for a slot without a tenant."""
 NO_SLOT = -1
 
 Steps = Generator[None, None, None]
-"""Work split into steps; each `next` runs one step in one turn of the event loop."""
+"""Work split into steps; each `next` runs one step, in an event loop iteration of its own."""
 TenantChanges = Sequence[tuple[int, Tenant]]
 """Slots with the tenant newly assigned to each."""
 
@@ -120,10 +120,10 @@
         self._row_hashes = array("q")
         self._row_slots = array("q")
         self._displaced_slots_by_hash: dict[int, int] = {}  # of current rows that have moved or are gone
-        self._unmatched_slots: set[int] = set()  # those of them that no new row has been matched with yet
+        self._unmatched_slots: set[int] = set()  # displaced slots that no new row has been matched with yet
         self._unmatched_positions: list[int] = []  # positions of new rows that equal no current row
         self._changed: list[tuple[int, Tenant]] = []
-        self._added_by_position: list[tuple[int, Tenant]] = []  # with positions instead of slots
+        self._added_by_position: list[tuple[int, Tenant]] = []  # added tenants by position in the file
         self._added: list[tuple[int, Tenant]] = []
         self._removed: list[int] = []
         self._free_slots: list[int] = []
--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -13,7 +13,8 @@
 __all__ = ["LATE_EXPIRY_THRESHOLD_NS", "Timers", "now_ns"]
 
 LATE_EXPIRY_THRESHOLD_NS = 5 * MS
-"""Lag of an expiry, ns, above which the event loop has stalled: it then reads before timers expire."""
+"""Lag of an expiry, ns, above which it is delayed by `READ_DELAY_NS`, so that the event loop reads from its
+sockets first."""
 READ_DELAY_NS = 1 * MS
 """Delay of a late expiry, ns, long enough for the event loop to read from its sockets first."""
 
@@ -21,7 +22,7 @@
 
 
 class Timers:
-    """Calls functions at monotonic times, never early, from one heap behind one timer of the event loop.
+    """Calls functions at monotonic times, never early; one heap and one event loop timer serve them all.
 
     The single timer keeps the event loop's own heap small, as every request sets several timers and none of
     them is cancelled.
@@ -43,7 +44,10 @@
         self.call_at(now_ns() + delay_ns, callback, argument)
 
     def call_at(self, due_ns: int, callback: Callable[[Argument], None], argument: Argument) -> None:
-        """Call `callback` once at `due_ns`.  As it cannot be cancelled, it checks if it still applies."""
+        """Call `callback` once at `due_ns`.
+
+        The call cannot be cancelled, so the callback must check whether it still applies.
+        """
         self._count += 1
         heappush(self._heap, (due_ns, self._count, callback, argument))
         if self._loop_timer is None or due_ns < self._loop_timer_due_ns:
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -1,7 +1,7 @@
 """A connection to an endpoint.
 
 If a connection is lost, the outcome of its attempt depends on whether the last byte of the request was
-written to the socket.  Before that the endpoint can't have executed the request, afterwards it may have.
+written to the socket.  Before that the endpoint cannot have processed the request, afterwards it may have.
 """
 
 from __future__ import annotations
@@ -124,7 +124,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the attempt on the new connection, unless it has ended or expired in the meantime."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports don't derive from it
+        self._transport = cast(asyncio.Transport, transport)  # not a subclass in uvloop
         # With a high-water mark of 0, resume_writing is called whenever a buffered write is complete.
         self._transport.set_write_buffer_limits(high=0)
         attempt = self.attempt
@@ -157,7 +157,7 @@
             self._transition_to(AWAITING_RESPONSE)
 
     def resume_writing(self) -> None:
-        """Called when the write buffer is empty: the request is completely written to the socket."""
+        """Record that the request is completely written to the socket, as the write buffer is empty."""
         if self.state is SENDING:  # otherwise the attempt has already ended
             self._transition_to(AWAITING_RESPONSE)
 
@@ -208,7 +208,7 @@
         """Whether the connection can carry another request after this response."""
         return self.is_request_written() and self._response.error is None and self._response.keeps_alive
 
-    # ---- Ends --------------------------------------------------------------------------------------
+    # ---- End of attempts and of the connection -----------------------------------------------------
 
     def mark_idle(self, now: int) -> None:
         """Mark the connection as idle from `now`, monotonic ns."""
--- a/gateway/upstream/endpoint.py
+++ b/gateway/upstream/endpoint.py
@@ -48,7 +48,10 @@
         return self.is_ready and connection.incarnation == self.incarnation
 
     def take_idle(self, now_ns: int) -> EndpointConnection | None:
-        """Remove and return the usable connection that became idle last; close unusable newer ones."""
+        """Remove and return the usable connection that became idle last, at least `REUSE_DELAY_NS` ago.
+
+        Unusable connections found before it are closed.
+        """
         index = bisect_right(
             self.idle, now_ns - REUSE_DELAY_NS, key=lambda connection: connection.idle_since_ns
         )
--- a/gateway/upstream/response_outcome.py
+++ b/gateway/upstream/response_outcome.py
@@ -21,7 +21,7 @@
 def classify_response(response: Response) -> Outcome:
     """Return the outcome that the protocol assigns to a response.
 
-    After ERROR the request may have been executed.
+    After ERROR the request may have been processed.
     """
     if response.status == STATUS_OK:
         return Outcome.OK
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -24,7 +24,8 @@
 FIRST_FINAL_STATUS = 200
 """Lowest status of a final response; lower ones are interim (RFC 9110, 15.2)."""
 MAX_CONTENT_LENGTH_DIGITS = 20
-"""Number of leading digits of Content-Length that are parsed: a number of that many digits is too large."""
+"""Number of leading digits of Content-Length that are converted: a longer number exceeds the limit, unless it
+begins with zeros, and converting it is slow."""
 
 
 class InvalidResponseError(Exception):
@@ -119,7 +120,8 @@
         """Parse received bytes."""
         self.has_begun = True
         if not self._is_head_complete:
-            # httptools reports a header line only when it is complete, so raw bytes are limited as well.
+            # httptools reports a header only when it is complete, so the received bytes are limited as well.
+            # The limit includes a body, as the read that completes the head may contain one.
             self._head_bytes += len(data)
             if self._head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 self.error = HeadTooLongError()
@@ -153,12 +155,12 @@
     # ---- Called by httptools -----------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Called at the first byte of a message."""
+        """Record an error if this is a second message."""
         if self.is_complete:
             self.error = ExtraResponseError()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called for each header and trailer field."""
+        """Store a header; trailers count towards the limit but are dropped."""
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
             self.error = HeadTooLongError()
@@ -166,7 +168,7 @@
             self._headers.append((name, field_value(value)))
 
     def on_headers_complete(self) -> None:
-        """Called when the head is complete; checks Content-Length."""
+        """Check Content-Length once the head is complete."""
         self._is_head_complete = True
         if self.is_complete:  # the head belongs to a second message
             return
@@ -175,7 +177,7 @@
                 self.error = BodyTooLongError()
 
     def on_body(self, body: bytes) -> None:
-        """Called for each piece of the body."""
+        """Append a part of the body, up to the limit."""
         if self.is_complete:
             return
         self._body += body
@@ -184,7 +186,7 @@
             self._body.clear()
 
     def on_message_complete(self) -> None:
-        """Called at the end of each message, interim responses included."""
+        """Complete the response, or discard the head of an interim one."""
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS:
             self._headers.clear()
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -95,7 +95,10 @@
         self._end_attempt(attempt, Outcome.CANCELLED)
 
     def expire_attempt(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise it can't have run."""
+        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise CONNECT_FAILED.
+
+        A request that was not written cannot have been processed.
+        """
         is_written = attempt.connection is not None and attempt.connection.is_request_written()
         self._end_attempt(attempt, Outcome.TIMEOUT if is_written else Outcome.CONNECT_FAILED)
 
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -179,13 +179,13 @@
         ({"version": "9"}, {"realms": [{"name": "new"}]}, "version must be", False),
         ({}, {"realms": [{"name": "new"}, {"name": "new"}]}, "two tenants have the name 'new'", False),
         ({}, {"realms": [{"name": "new"}, {"name": "x", "allowance-per-s": -1.0}]}, "not be negative", False),
-        ({}, {"realms": [{"name": "new"}, 7]}, "the old configuration stays", False),
+        ({}, {"realms": [{"name": "new"}, 7]}, "keeping the current configuration", False),
         ({}, {"realms": [{"name": "new"}], "over-share-worth": -1}, "must not be negative", False),
-        ({}, {"realms": [{"name": "new"}], "az": 1}, "az: a change needs a restart", True),
+        ({}, {"realms": [{"name": "new"}], "az": 1}, "az: a change requires a restart", True),
         (
             {},
             {"realms": [{"name": "new"}], "request-classes": SETTINGS["request-classes"][:2]},
-            "request-classes: a change needs a restart",
+            "request-classes: a change requires a restart",
             True,
         ),
     ],
@@ -214,9 +214,9 @@
         assert (await client.read_response())[0] == 200
     [line] = [record.getMessage() for record in caplog.records if "EDGE_CONFIG" in record.getMessage()]
     assert message in line
-    assert "stay" in line
+    assert "keeping the current" in line
     assert "\n" not in line
-    assert "in force:" not in caplog.text
+    assert "applied:" not in caplog.text
 
 
 @pytest.mark.parametrize("state", [ReloadState.READING, ReloadState.COMPARING])
@@ -238,7 +238,7 @@
         assert file.state() is ReloadState.APPLYING_WITH_NEXT
         await file.wait_for(ReloadState.IDLE)
         assert file.tenant_names() == [b"acme", b"last"]
-    assert caplog.text.count("settings in force:") == 3
+    assert caplog.text.count("settings applied:") == 3
 
 
 async def test_a_request_is_served_before_many_rows_are_compared(
@@ -267,7 +267,7 @@
     (tmp_path / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "realms": [{"name": "new"}]}}))
     process.send_signal(signal.SIGHUP)
     assert process.stderr is not None
-    while b"settings in force: 1 tenants added, 0 changed, 1 removed" not in (
+    while b"settings applied: 1 tenants added, 0 changed, 1 removed" not in (
         line := await process.stderr.readline()
     ):
         assert line, "the process has ended"
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -140,7 +140,7 @@
     (tmp_path / "c").write_text("{")
     process.send_signal(signal.SIGHUP)
     assert process.stderr is not None
-    while b"the old configuration stays" not in (line := await process.stderr.readline()):
+    while b"keeping the current configuration" not in (line := await process.stderr.readline()):
         assert line, "the process has ended"
     (tmp_path / "c").write_text(json.dumps({**config, "discovery": second.address}))
     process.send_signal(signal.SIGHUP)  # on a reload the file takes precedence over EDGE_DISCOVERY
