--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -36,7 +36,7 @@
         self.number = server.next_connection_number()
         """Connection number used in the log."""
         self.waiting_since_ns = now_ns()
-        """Start of the current wait, ns: for a request, or for the client to read its responses or to close."""
+        """Start of the current wait, ns: for a request, for the client to read its responses or to close."""
         self.has_sent_valid_request = False
         """Whether at least one request has passed all checks."""
         self.is_over_limit = False
@@ -145,7 +145,7 @@
                 exchange.send_failure()
 
     def on_expect_continue(self) -> None:
-        """Send 100 Continue, unless earlier requests are open: it would be taken for one of their responses."""
+        """Send 100 Continue, unless earlier requests are open: it would be taken for their response."""
         if self._transport is not None and not self.queue:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
--- a/gateway/discovery/call.py
+++ b/gateway/discovery/call.py
@@ -60,7 +60,7 @@
     """The last generation, cached or received, as numbered by `address`; 0 for none."""
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> bool:
-        """Handle the JSON text of an update; returns False if it is incomplete and more lines must follow."""
+        """Handle the JSON text of an update; return False if it is incomplete and more lines must follow."""
 
     def on_heartbeat(self) -> None:
         """Handle an empty line, which means that nothing has changed."""
--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -165,7 +165,7 @@
     # ---- Events of the calls -----------------------------------------------------------------------
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> bool:
-        """Apply the JSON text of an update; returns False if it is incomplete and more lines must follow."""
+        """Apply the JSON text of an update; return False if it is incomplete and more lines must follow."""
         try:
             update = self._parser.parse(json.loads(text), now_ns())
         except json.JSONDecodeError as error:
--- a/gateway/loop_monitor.py
+++ b/gateway/loop_monitor.py
@@ -42,7 +42,10 @@
         timers.call_after(HEARTBEAT_INTERVAL_NS, self._on_heartbeat, None)
 
     def earliest_arrival(self, now: int) -> int:
-        """Return the earliest possible arrival, ns, of data read at `now`; `now` if the loop has not stalled."""
+        """Return the earliest possible arrival, ns, of data read at `now`.
+
+        This is `now`, unless the event loop has just stalled.
+        """
         late_ns = now - self._last_heartbeat_ns - HEARTBEAT_INTERVAL_NS
         return now if late_ns <= HEARTBEAT_TOLERANCE_NS else self._last_heartbeat_ns
 
--- a/gateway/sockets.py
+++ b/gateway/sockets.py
@@ -39,7 +39,7 @@
 
 
 def shut_down(transport: asyncio.Transport | None) -> None:
-    """Shut the connection down at once; the transport closes its socket only in the next loop iteration."""
+    """Shut the connection down now; the transport closes its socket only in the next event loop iteration."""
     transport_socket = transport.get_extra_info("socket") if transport is not None else None
     if transport_socket is None or transport_socket.fileno() < 0:
         return
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -133,7 +133,7 @@
             self.error = MalformedResponseError(str(error) or "malformed")
 
     def feed_eof(self) -> bool:
-        """Handle the end of the stream; returns whether it completes the response."""
+        """Handle the end of the stream and return whether it completes the response."""
         if not self._is_head_complete or self.is_complete or self.error is not None or self._has_framing():
             return False
         self._final_status = self._parser.get_status_code()
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -142,7 +142,7 @@
         connection.endpoint.remove_idle(connection)
 
     def _evict_idle(self) -> bool:
-        """Close the longest idle connection of all endpoints; returns whether there was one."""
+        """Close the longest idle connection of all endpoints and return whether there was one."""
         candidates = [endpoint for endpoint in self.endpoints.values() if endpoint.idle]
         if not candidates:
             return False
