--- a/gateway/tenant_table.py
+++ b/gateway/tenant_table.py
@@ -21,7 +21,7 @@
 __all__ = ["NO_TENANT", "ROWS_PER_STEP", "Steps", "TenantChanges", "TenantDifference", "TenantTable"]
 
 ROWS_PER_STEP = 256
-"""Rows that are compared, decoded or applied in one iteration of the event loop, which takes 0.2 to 1 ms."""
+"""Rows that are compared, decoded or applied in one iteration of the event loop, in about 0.2 to 1 ms."""
 NO_TENANT = Tenant("")
 """Placeholder for a slot without a tenant."""
 NO_SLOT = -1
