--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -96,7 +96,7 @@
             arrived_ns,
             now + timeout_ns,
             Trace(
-                client_request.request_id,
+                client_request.client_request_id,
                 exchange.connection_number,
                 client_request.timeout_ns,
                 arrived_ns,
@@ -123,25 +123,26 @@
         self.telemetry.count(CounterName.CLIENT_GONE, "overdue" if is_overdue else "")
         request.trace.add_step(now, Phase.CLIENT_GONE)
         self.telemetry.finish_trace(request.trace, is_overdue)
-        # Queued before the attempts are cancelled, whose results then follow the end of the request.
+        # Queued before the attempts are cancelled, so that their results follow the end of the request.
         self._events.add(lambda now: self.balancer.on_client_gone(now, request.request_id), request)
         self._clean_up(request)
 
     def on_client_half_closed(self, request: Request) -> None:
         """Handle a client that has sent EOF.
 
-        It may have disconnected or may still wait for its response; the gateway cannot tell which.  It
-        therefore gets the response of an attempt in flight, but no new attempt starts for it: one that waits
-        for its connection is sent only if that is established within the window for new attempts.
+        The client may have disconnected or may still wait for its response; the gateway cannot tell which.
+        The response of an attempt in flight is therefore sent to it, but no new attempt starts.  An attempt
+        that still waits for its connection is sent only if the connection is established within
+        `UNCHECKED_ATTEMPT_WINDOW_NS` of the request's arrival.
         """
         if request.is_ended:
             return
-        request.begin_client_closing()
+        request.mark_half_closed()
         request.trace.add_step(now_ns(), Phase.HALF_CLOSED)
         if not request.in_flight:
             self._fail_request(request, GatewayReason.CLIENT_CLOSING)
         elif not request.has_attempt_on_open_connection():
-            self._timers.call_at(request.new_attempts_until_ns, self._fail_if_unsent, request)
+            self._timers.call_at(request.client_check_from_ns, self._fail_if_unsent, request)
 
     def _fail_if_unsent(self, request: Request) -> None:
         if not request.is_ended and not request.has_attempt_on_open_connection():
@@ -237,7 +238,7 @@
 
     def _may_send(self, request: Request, number: int) -> bool:
         return (
-            not request.client_closing
+            not request.is_half_closed
             and self._may_start(request)
             and number < self._settings.limits.max_attempts
         )
@@ -246,16 +247,16 @@
     def _may_start(request: Request) -> bool:
         """Whether an attempt may start now; checked on creation and when its connection is established.
 
-        After `new_attempts_until_ns` this checks the client's socket, where an EOF may be unread, because
-        something else was read first or because reading is paused.
+        From `client_check_from_ns` on, the client's socket is checked for an EOF that the event loop has not
+        read yet: it may be behind unread bytes, or reading may be paused.
         """
         if request.is_ended:
             return False
-        if now_ns() < request.new_attempts_until_ns:
+        if now_ns() < request.client_check_from_ns:
             return True
-        if not request.client_closing and request.client_has_ended():
-            request.begin_client_closing()
-        return not request.client_closing
+        if not request.is_half_closed and request.client_has_ended():
+            request.mark_half_closed()
+        return not request.is_half_closed
 
     def _on_attempt_ended(
         self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None
@@ -284,13 +285,17 @@
             self._clean_up(request)
 
     def _respond(self, request: Request, response: Response | None) -> None:
-        """Send the final response if the end of an attempt decides it: the first served response is final."""
+        """Send the final response if there is one.
+
+        It is the first response with outcome OK, or a failure if the client has sent EOF and no attempt is
+        left.
+        """
         if request.is_ended:
             return
         if response is not None:
             request.end().send_response(response)
             self._record_response(request, CounterName.SERVED)
-        elif request.client_closing and not request.in_flight:
+        elif request.is_half_closed and not request.in_flight:
             self._send_failure(request, GatewayReason.CLIENT_CLOSING)
 
     # ---- Request actions -------------------------------------------------------------------------
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -95,7 +95,10 @@
         self._end_attempt(attempt, Outcome.CANCELLED)
 
     def expire_attempt(self, attempt: Attempt) -> None:
-        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise it can't have run."""
+        """End an attempt at its deadline: TIMEOUT if its request was written, otherwise CONNECT_FAILED.
+
+        A request that was not written cannot have been processed.
+        """
         is_written = attempt.connection is not None and attempt.connection.is_request_written()
         self._end_attempt(attempt, Outcome.TIMEOUT if is_written else Outcome.CONNECT_FAILED)
 
@@ -139,7 +142,7 @@
         connection.endpoint.remove_idle(connection)
 
     def _evict_idle(self) -> bool:
-        """Close the longest idle connection of all endpoints; returns whether there was one."""
+        """Close the longest idle connection of all endpoints and return whether there was one."""
         candidates = [endpoint for endpoint in self.endpoints.values() if endpoint.idle]
         if not candidates:
             return False
