--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -69,7 +69,7 @@
     def send_attempt(self, request_id: int, endpoint_id: EndpointId, timeout_ns: int) -> None:
         """Start the next attempt of a request; attempts are numbered from 0.
 
-        The attempt times out after `timeout_ns`, or at the request's deadline if that is 0.
+        The attempt times out after `timeout_ns`; if `timeout_ns` is 0, at the request's deadline.
         """
 
     def fail(self, request_id: int, reason: EndReason) -> None:
--- a/balancer/outcomes.py
+++ b/balancer/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of attempts, and reasons for ending a request without a response from an endpoint."""
+"""Outcomes of attempts, and reasons for a final response of the gateway's own."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class EndReason(Enum):
-    """Reason why a request ended without a response from an endpoint, for logs and counters."""
+    """Reason why the gateway sent a final response of its own, for logs and counters."""
 
     INSUFFICIENT_TIME = "insufficient_time"
     """The remaining time is too short even for a fast response."""
--- a/balancer/request.py
+++ b/balancer/request.py
@@ -62,7 +62,7 @@
         """First gap between two attempts, in nanoseconds (T1 in the paper)."""
         self.attempt_count = 0
         self.gap_count = 0
-        """Number of gaps begun; each is twice as long as the one before."""
+        """Number of gaps begun; their length doubles with each, at most `retry.MAX_GAP_DOUBLINGS` times."""
         self.wait_ends_at = 0
         """When the current wait ends, in the queue or for a gap."""
         self.last_sent_at = 0
--- a/balancer/request_lifecycle.py
+++ b/balancer/request_lifecycle.py
@@ -22,7 +22,7 @@
 
 __all__ = ["RequestLifecycle"]
 
-MAX_QUEUE_SHARE = 0.5
+MAX_QUEUE_TIME_SHARE = 0.5
 """Longest time that a request waits for capacity, as a share of its latency objective."""
 
 
@@ -96,8 +96,8 @@
             self._send(request, endpoint, now)
 
     def _enqueue(self, request: Request, now: int) -> None:
-        """Queue a request until there is capacity, for at most `MAX_QUEUE_SHARE` of its latency objective."""
-        latest = request.arrived_at + int(MAX_QUEUE_SHARE * request.objective_ns)
+        """Queue a request for capacity, for at most `MAX_QUEUE_TIME_SHARE` of its latency objective."""
+        latest = request.arrived_at + int(MAX_QUEUE_TIME_SHARE * request.objective_ns)
         request.wait_ends_at = min(latest, request.deadline - self._settings.tick_ns)
         self._wait_queue.add(request, self._priority(request))
         self._timers.set(request, request.wait_ends_at - now)
@@ -138,9 +138,9 @@
     def handle_attempt_timer(self, attempt: Attempt, now: int) -> None:
         """Count an attempt without a timeout that has been in flight for T1 as a failure of its endpoint.
 
-        Otherwise an unresponsive endpoint would keep receiving requests that may not be retried. If the
-        endpoint has failed before, the attempt's capacity is released; otherwise a few unresponsive endpoints
-        would use up a small limit.
+        Otherwise an unresponsive endpoint would keep receiving requests that may not be retried. The
+        attempt's capacity is always released, as this failure alone puts the endpoint above
+        `MAX_FAILURE_SHARE`. Otherwise a few unresponsive endpoints would use up a small limit.
         """
         request = attempt.request
         if attempt.number not in request.attempts_in_flight or request.is_streaming:
@@ -242,14 +242,14 @@
     # ---- Final responses -------------------------------------------------------------------------
 
     def abandon(self, request_id: int) -> None:
-        """Drop a request whose client has disconnected, and cancel its attempts."""
+        """Drop a request whose client has disconnected, and cancel its attempts if the settings allow it."""
         request = self.requests.get(request_id)
         if request is not None:
             self._mark_done(request, missed_objective=True)
             self._cancel_attempts(request)
 
     def _fail_or_reject(self, request: Request, reason: EndReason) -> None:
-        """Send the final response without one from an endpoint: a rejection if permitted, else a failure."""
+        """Send a final response of the gateway's own: a rejection if permitted, else a failure."""
         if request.is_done or request.is_streaming:
             return
         self._mark_done(request, missed_objective=True)
