--- a/balancer/delay_estimate.py
+++ b/balancer/delay_estimate.py
@@ -15,7 +15,7 @@
 __all__ = ["Q_MIN", "REFERENCE_T1_NS", "DelayEstimate"]
 
 REFERENCE_T1_NS = SECOND // 2
-"""The paper's T1 in ns: the unit of a pool's delay, and the minimum T1 used in the decay of a delay."""
+"""The paper's T1 in ns: delays of a pool are scaled to it, and the decay of a delay uses at least this T1."""
 Q_MIN = 0.2
 """Delay, in T1, below which every retry passes (the paper's q_min)."""
 SMOOTHING_WEIGHT = 0.1
--- a/balancer/endpoint.py
+++ b/balancer/endpoint.py
@@ -88,7 +88,7 @@
 class EndpointPool(DelayEstimate):
     """Endpoints of the gateway's zone, or of the other zones, from which the gateway selects.
 
-    The delay estimate is in units of `REFERENCE_T1_NS`.
+    The delay estimate is in ns, scaled as if the T1 of each request were `REFERENCE_T1_NS`.
     """
 
     __slots__ = ("effective_size", "endpoints", "in_flight", "limit")
@@ -99,6 +99,6 @@
         self.effective_size = 0.0
         """Endpoints for which the limit is sized; one in slow start counts with its capacity share."""
         self.in_flight = 0
-        """Attempts in flight that count against the limit; those at endpoints not ready are left out."""
+        """Attempts in flight that count against the limit, without those whose capacity was released."""
         self.limit = 0.0
-        """Maximum number of attempts in flight; 0 before the first endpoint list."""
+        """Maximum number of attempts in flight; 0 until the pool first has an endpoint."""
--- a/balancer/feedback.py
+++ b/balancer/feedback.py
@@ -82,7 +82,7 @@
     ) -> None:
         """Record a failure that counts against the endpoint."""
         if outcome is Outcome.TIMEOUT:
-            delay = float(elapsed_ns)  # an attempt with less time than T1 shows no more than this
+            delay = float(elapsed_ns)  # a timeout before T1 shows only that the delay is at least this
         elif outcome is Outcome.ERROR or outcome in BROKEN_OUTCOMES:
             delay = ERROR_DELAY_T1 * request.t1
         else:
--- a/balancer/load_report.py
+++ b/balancer/load_report.py
@@ -58,9 +58,9 @@
             return report[self._queue] * endpoint.mean_latency / max(1.0, endpoint.mean_reported_in_flight)
         if self._service_ms is not None:
             return in_flight * report[self._service_ms] * NS_PER_MS
-        # The requests in flight from all gateways, each at the baseline latency. Otherwise many gateways,
-        # each of which sees few responses, would together fill an endpoint before any of them sees it slow
-        # down.
+        # All requests in flight but one, from all gateways, each at the baseline latency. Otherwise many
+        # gateways, each of which sees few responses, would together fill an endpoint before any of them sees
+        # it slow down.
         baseline_latency = self._throughput.baseline_latency
         return max(0.0, in_flight - 1.0) * baseline_latency if baseline_latency else None
 
--- a/balancer/outlier.py
+++ b/balancer/outlier.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: failing endpoints get no first attempts until their recorded failures have decayed."""
+"""Outlier ejection: failing endpoints get no first attempts until their smoothed delay has decayed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 MAX_FAILURE_SHARE = 0.15
 """Share of failures above which an endpoint may be ejected; a single recent failure exceeds it."""
 MIN_BROKEN_STREAK = 3
-"""Consecutive broken connections or invalid responses from which each is a failure; a few are normal."""
+"""Number of consecutive broken connections or invalid responses from which on each counts as a failure.
+
+A few are normal.
+"""
 BROKEN_OUTCOMES = (Outcome.RESET, Outcome.INVALID_RESPONSE)
 _NOT_CAUSED_BY_ENDPOINT = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.BAD_REQUEST)
 
