--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -211,8 +211,8 @@
     def _is_over_quota(self, request: Request, now: int) -> bool:
         """Whether a request exceeds this gateway's share of its tenant's quota.
 
-        Requests over quota have little weight: they are sent only if there is capacity at once, and are
-        otherwise rejected instead of queued.
+        No request counts as over quota if such requests keep their full weight. Otherwise they have little
+        weight: they are sent only if there is capacity at once, and are otherwise rejected instead of queued.
         """
         tenant = request.tenant
         if tenant is None or self.settings.over_quota_weight >= 1.0:
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -17,14 +17,17 @@
 SPREAD_SHARE = 0.5
 """Share of the polling interval over which first calls are spread, to avoid a queue at discovery."""
 FULL_SPREAD_REPLICAS = 32
-"""Number of gateways from which calls are spread in full.
+"""Number of gateways from which on first calls are spread over the full `SPREAD_SHARE`.
 
 Fewer gateways need less, and should call soon, as a list cached before the start may be old.
 """
 MAX_BACKOFF_SHARE = 0.5
 """Maximum backoff, as a share of the polling interval."""
 FIRST_BACKOFF_SHARE = 0.1
-"""Minimum first backoff, as a share of the polling interval."""
+"""Minimum first backoff, as a share of the polling interval.
+
+After a broken watch, the first backoff is `REWATCH_SPREAD_NS` instead.
+"""
 REWATCH_SPREAD_NS = SECOND
 """Maximum time over which calls after broken watches are spread, in ns.
 
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,7 +1,7 @@
 """Settings of a balancer, validated on construction.
 
-An invalid value raises ValueError with the name of its field. The message names `score_weights` and
-`penalties` by their keys, `goal` and `prices`.
+An invalid value raises ValueError with the name of its field. The message names `score_weights`,
+`penalties` and `weight_mode` by their keys in the configuration: `goal`, `prices` and `weights`.
 """
 
 from __future__ import annotations
@@ -103,7 +103,10 @@
     """Time after which endpoints close an idle connection; 0 if unknown."""
     streams_per_connection: int = 1
     max_open_requests: int = 0
-    """Maximum number of open requests; the gateway rejects more without its balancer. 0 for no limit."""
+    """Maximum number of open requests; 0 for no limit other than the gateway's own.
+
+    The gateway rejects further requests without passing them to its balancer.
+    """
     cpu_us_per_s: float = 0.0
     """CPU time available to a gateway, in microseconds per second; 0 if unknown."""
     cpu_us_per_request: float = 0.0
@@ -237,7 +240,10 @@
     weight_by_work: bool = False
     """Whether a request's priority weight grows with its work."""
     weight_mode: str = "off"
-    """Meaning of endpoint weights, one of `WEIGHT_MODES`; with "off" each weight is 1."""
+    """Meaning of the weights in the endpoint list, one of `WEIGHT_MODES`; validated and otherwise unused.
+
+    The weight of each entry counts in every mode.
+    """
     machine_types: int = 0
     clients_mark_retries: bool = False
 
--- a/balancer/start_times.py
+++ b/balancer/start_times.py
@@ -20,7 +20,7 @@
 MAX_PUBLICATION_DELAY_NS = 10 * SECOND
 """Maximum time in ns from a start to its publication, if an update or heartbeat arrived just before."""
 MAX_UNLISTED_STARTS = 256
-"""Starts that are stored beyond two per entry of the last update; unlisted endpoints may be listed again."""
+"""Number of starts stored beyond two per entry of the last update: unlisted endpoints may be listed again."""
 
 
 class _Start(NamedTuple):
@@ -35,8 +35,9 @@
 class StartTimes:
     """Start times on the monotonic clock; after the first list a stored start is not converted again.
 
-    After an update, the newest `2 * entries + MAX_UNLISTED_STARTS` starts stay stored, where `entries` is the
-    size of that update. An older start is dropped, even if its endpoint is still listed, and converted again
+    After an update, the starts of the `2 * entries + MAX_UNLISTED_STARTS` endpoints stored last stay, where
+    `entries` is the size of that update; a restarted endpoint keeps its place in the order of storing. The
+    start of an endpoint stored earlier is dropped, even if the endpoint is still listed, and converted again
     if it is published again.
     """
 
