--- a/scale/backend.py
+++ b/scale/backend.py
@@ -45,7 +45,7 @@
 class FakeEndpoints:
     """Fake endpoints that respond as the gateway's protocol requires of endpoints.
 
-    Service times are exponential with a mean of `mean_s` seconds; each depends only on the seed and the id of
+    Service times are exponential with a mean of `mean_s` seconds; each depends only on the seed and the ID of
     the request.  `columns` are the columns of the load report in the settings; without any, responses carry
     no report.  Raises UnknownColumnError.
     """
@@ -76,7 +76,7 @@
             server.close()
 
     def service_time_s(self, request_id: bytes) -> float:
-        """Return the service time of the request with this id, seconds."""
+        """Return the service time of the request with this ID, in seconds."""
         return random.Random(b"%d:%b" % (self._seed, request_id)).expovariate(1 / self._mean_s)
 
     def response(self, request_id: bytes, elapsed_ns: int, in_flight: int) -> bytes:
--- a/scale/child_process.py
+++ b/scale/child_process.py
@@ -39,7 +39,10 @@
 
 
 async def read_json_line(process: asyncio.subprocess.Process) -> Any:
-    """Read and decode the next line of its standard output.  Raises RuntimeError if the output has ended."""
+    """Read and decode the next line of the standard output of a process.
+
+    Raises RuntimeError if the output has ended.
+    """
     assert process.stdout is not None
     line = await process.stdout.readline()
     if not line:
--- a/scale/cold_start/overload_check.py
+++ b/scale/cold_start/overload_check.py
@@ -1,4 +1,4 @@
-"""Overload check: whether the observed endpoint was overloaded, computed from arrival times only."""
+"""Overload check: whether the observed endpoint was overloaded, from arrival times and its capacity."""
 
 from __future__ import annotations
 
@@ -37,10 +37,11 @@
     seconds: int,
     served_share: float,
 ) -> OverloadResult:
-    """Return the worst load over all windows that end at an arrival; `arrivals_ns` must be ascending.
+    """Return the load on the endpoint; `arrivals_ns` must be ascending.
 
-    The allowed number of requests in a window is `overload_factor` times the lowest capacity in the window,
-    plus two standard deviations and two requests, because requests arrive in random bursts.
+    The worst window is sought among those that end at an arrival. The allowed number of requests in a window
+    is `overload_factor` times the lowest capacity in the window, plus two standard deviations and two
+    requests, because requests arrive in random bursts.
     """
     window_ns = rules.overload_window_ns
     worst_share, first = -inf, 0
--- a/scale/cold_start/scenario.py
+++ b/scale/cold_start/scenario.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Parameters that are the same on every seed.  The observed endpoint starts during the run."""
+    """Parameters of a run other than its seed.  The observed endpoint starts during the run."""
 
     gateways: int
     endpoints: int
@@ -48,7 +48,7 @@
     speed_in_weight: bool = False
     """Whether the weights in the endpoint list equal the speeds of the endpoints."""
     hidden_slow_start: bool = False
-    """Whether endpoints in slow start respond at full speed and report no requests in flight."""
+    """Whether endpoints in slow start respond at full speed, and all endpoints report 0 in flight."""
     max_in_flight_per_core: int = 20
     """Most requests in flight per core; an endpoint rejects further ones."""
     starting_share: float = 0.0
--- a/scale/headless.py
+++ b/scale/headless.py
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.receive_ns = 0
-        """CPU time of handling received data, ns: reading, parsing, applying, balancer."""
+        """CPU time of handling received data, ns: reading, parsing, `upstream_ns` and `balancer_ns`."""
         self.upstream_ns = 0
         """CPU time of applying the list to the connections, ns."""
         self.balancer_ns = 0
@@ -110,7 +110,7 @@
         cached_list: Any,
         list_applied: asyncio.Event,
     ) -> None:
-        """Create the parts; `cached_list` is decoded JSON; `list_applied` is set by applied updates."""
+        """Create the parts; `cached_list` is decoded JSON, `list_applied` is set after each applied update."""
         loop = asyncio.get_running_loop()
         self.times = UpdateTimes()
         self.failed_calls = 0
--- a/scale/parsing.py
+++ b/scale/parsing.py
@@ -1,4 +1,7 @@
-"""`python -m scale.parsing FILE`: reads a configuration; prints its CPU time and memory as a line of JSON."""
+"""`python -m scale.parsing FILE`: prints the CPU time and memory that reading a configuration takes.
+
+It prints one line of JSON.
+"""
 
 from __future__ import annotations
 
--- a/scale/records.py
+++ b/scale/records.py
@@ -134,7 +134,10 @@
 
 
 def format_fits(records: Iterable[RunRecord]) -> str:
-    """Format a row per figure with enough points: slope, its standard error, and an extrapolated value."""
+    """Format a row per figure with enough points.
+
+    It has the slope, its standard error, the intercept, and an extrapolated value.
+    """
     rows = []
     for name, pairs in _points_by_figure(records).items():
         sizes, values = [size for size, _ in pairs], [value for _, value in pairs]
