--- a/scale/headless.py
+++ b/scale/headless.py
@@ -110,7 +110,7 @@
         cached_list: Any,
         list_applied: asyncio.Event,
     ) -> None:
-        """Create the parts; `cached_list` is decoded JSON, `list_applied` is set after each applied update."""
+        """Create the parts; `cached_list` is decoded JSON; each applied update sets `list_applied`."""
         loop = asyncio.get_running_loop()
         self.times = UpdateTimes()
         self.failed_calls = 0
