--- a/gateway/client/admission.py
+++ b/gateway/client/admission.py
@@ -21,8 +21,9 @@
     """All open connections, with the evictable ones grouped by how they have been used.
 
     A new connection above the limit replaces an existing one that has no open request.  Evicted first are
-    connections that have sent only readiness checks and invalid requests, then those that never sent
-    anything, then those whose first request stays incomplete, and last those that have sent a valid request.
+    connections that have sent only readiness checks and invalid requests, and those that had sent nothing at
+    the last sweep; then newer ones that never sent anything, then those whose first request stays incomplete,
+    and last those that have sent a valid request.
     With this order, many useless connections cannot displace the useful ones.
     """
 
@@ -32,7 +33,7 @@
         self._connections: dict[ClientConnection, None] = {}  # oldest first, like the other groups
         self._unused: dict[ClientConnection, None] = {}  # no data received yet
         self._idle: dict[ClientConnection, None] = {}  # idle, after at least one valid request
-        self._unvalidated: dict[ClientConnection, None] = {}  # idle, no valid request received
+        self._unvalidated: dict[ClientConnection, None] = {}  # idle at a response or sweep, no valid request
 
     def __len__(self) -> int:
         return len(self._connections)
@@ -70,7 +71,10 @@
         return 2 * len(self._connections) > self.max_connections
 
     def close_unvalidated(self, reason: CloseReason) -> None:
-        """Close the idle connections that have received no valid request."""
+        """Close the idle connections that have sent only readiness checks, invalid requests or nothing.
+
+        Of those that have sent nothing, only the ones that were open at the last sweep are closed.
+        """
         for connection in list(self._unvalidated):
             connection.close_if_idle(reason)
 
--- a/gateway/client/connection.py
+++ b/gateway/client/connection.py
@@ -192,7 +192,7 @@
             self.release_errors()
 
     def release_errors(self) -> None:
-        """Write the deferred errors, after a valid request behind them or at the next sweep."""
+        """Write the deferred errors: at a sweep, after a valid request, or when the queue is overfull."""
         self.queue.release_errors()
         self.flush()
 
--- a/gateway/client/exchange.py
+++ b/gateway/client/exchange.py
@@ -43,7 +43,7 @@
         self.response: bytes | None = None
         """The serialized response; None until it is set."""
         self.is_deferred = False
-        """Whether the response, and all behind it, waits for a sweep or for a valid request."""
+        """Whether the response, and with it all later ones, waits for `ResponseQueue.release_errors`."""
         self.request: Request | None = None
         """The dispatcher's request; None if the dispatcher did not accept it."""
         self.client_request_id = b""
--- a/gateway/client/listener.py
+++ b/gateway/client/listener.py
@@ -24,8 +24,8 @@
 LISTEN_BACKLOG = 1024
 """Maximum number of connections waiting to be accepted."""
 ACCEPTS_PER_ITERATION = 8
-"""Connections accepted in one iteration of the event loop.  They count as open only two iterations later, so
-that meanwhile up to twice as many connections above the limit may hold a descriptor."""
+"""Connections accepted in one iteration of the event loop.  They count as open only two iterations later;
+until then up to twice this number of connections above the limit may hold a descriptor."""
 ACCEPT_RETRY_DELAY_NS = 10 * MS
 """Delay before accept is called again after the system had no free descriptor or memory, ns."""
 PER_CONNECTION_ERRORS = frozenset(
--- a/gateway/client/request_parser.py
+++ b/gateway/client/request_parser.py
@@ -1,7 +1,7 @@
 """Parses the requests of one connection and enforces the size limits on heads and bodies.
 
-The httptools callbacks must not raise: httptools would report the exception as malformed input.  Errors are
-therefore stored in `error` and read after `feed`.
+The httptools callbacks must not raise: httptools would raise HttpParserCallbackError instead, which counts as
+malformed input.  Errors are therefore stored in `error` and read after `feed`.
 """
 
 from __future__ import annotations
--- a/gateway/client/server.py
+++ b/gateway/client/server.py
@@ -66,10 +66,11 @@
         self.connections.admit(connection)
 
     def closes_after_response(self, connection: ClientConnection) -> bool:
-        """Whether a response closes its connection: if over half the slots are taken, and while draining.
+        """Whether a response closes its connection.
 
-        Otherwise clients that send one request and stay connected would take all slots.  During a graceful
-        shutdown no new connections arrive, and those that have sent a valid request stay until the drain.
+        Normally it does if over half the slots are taken: otherwise clients that send one request and stay
+        connected would take all slots.  During a graceful shutdown it does on connections that have sent no
+        valid request, and on all connections once the drain has begun.
         """
         if self.shutting_down:
             return self.draining or not connection.has_sent_valid_request
@@ -170,7 +171,8 @@
     def begin_shutdown(self) -> None:
         """Become not ready at once, and close idle connections that have received no valid request.
 
-        The other connections stay open until the drain.  Otherwise no gateway might serve while the clients
+        Idle connections that have sent nothing are closed only if they were open at the last sweep.  The
+        other connections stay open until the drain.  Otherwise no gateway might serve while the clients
         look for another one, or while the gateway that was restarted before this one is not ready yet.  The
         cost is that clients of a slow gateway stay with it for a second longer, even if all other gateways
         are ready.
--- a/gateway/configuration.py
+++ b/gateway/configuration.py
@@ -49,7 +49,7 @@
     machine_types: list[str]
     load_report_columns: list[str]
     peers: list[Address]
-    """Addresses of the gateways that receive gossip."""
+    """Addresses of the other gateways, to which gossip is sent and from which it is accepted."""
     broadcast_address: Address | None
     """Destination of gossip for all gateways."""
     gossip_address: Address | None
--- a/gateway/control_plane.py
+++ b/gateway/control_plane.py
@@ -141,9 +141,9 @@
         self.upstream.close_idle_connections(endpoint_id)
 
     def send_gossip(self, peer: int | None, content: bytes) -> None:
-        """Send a gossip message to one peer, or to all peers for None, if the settings allow gossip."""
+        """Send a gossip message to one peer, or to all for None, if gossip is enabled and has a socket."""
         if not self._settings.limits.gossip or self.gossip_socket is None:
-            log.error("dropped a gossip message: the settings do not allow gossip")
+            log.error("dropped a gossip message: gossip is disabled or has no socket")
         else:
             self.gossip_socket.send(peer, content)
 
--- a/gateway/discovery/backoff.py
+++ b/gateway/discovery/backoff.py
@@ -10,8 +10,9 @@
 
 FIRST_WAIT_S, MAX_WAIT_S = 0.25, 5.0
 MAX_GRACE_SHARE = 0.3
-"""Maximum wait as a share of the drain grace period.  The backoff applies only where lists are pushed, and
-there the gateway counts as notified of a change immediately."""
+"""Maximum mean wait as a share of the drain grace period.  The backoff applies only where lists are pushed.
+There the gateway counts as notified of a change immediately, so a failed watch must be reopened well within
+that period."""
 MIN_MAX_WAIT_S = 0.05
 """Lower bound for the maximum wait, however short the drain grace period is."""
 
--- a/gateway/discovery/call.py
+++ b/gateway/discovery/call.py
@@ -55,7 +55,7 @@
     address: tuple[str, int]
     """Host and port of discovery."""
     address_version: int
-    """Incremented with each change of the address."""
+    """Incremented by each change of the address and by each reconnection to the same one."""
     generation: int
     """The last generation, cached or received, as numbered by `address`; 0 for none."""
 
--- a/gateway/discovery/discovery.py
+++ b/gateway/discovery/discovery.py
@@ -54,11 +54,11 @@
         self._timers = timers
         self.address = address
         self.address_version = 0
-        """Incremented with each change of the address."""
+        """Incremented by each change of the address and by each reconnection to the same one."""
         self.generation = 0
         """The last generation, cached or received, as numbered by the current address; 0 for none."""
         self.address_changed_ns = -FAST_RECONNECT_PERIOD_NS
-        """Monotonic time of the last change of address."""
+        """Monotonic time of the last change of address or reconnection to the same one."""
         self._parser = parser
         self._is_pushed = pushed
         self._backoff = Backoff(drain_grace_ns)
@@ -232,7 +232,7 @@
             self._replacement_watch = None
 
     def _is_fast_reconnect_due(self) -> bool:
-        """Whether the address changed recently and no watch on the new one has received an update."""
+        """Whether the address changed recently and the current watch, if any, is not on the new address."""
         return (
             not self._watches_current_address()
             and now_ns() - self.address_changed_ns < FAST_RECONNECT_PERIOD_NS
--- a/gateway/discovery/response_reader.py
+++ b/gateway/discovery/response_reader.py
@@ -14,8 +14,8 @@
 class ResponseReader:
     """Incremental parser of the response to one call.
 
-    httptools calls the `on_...` methods during `feed`; they only store values, because httptools does not
-    pass their exceptions on.
+    httptools calls the `on_...` methods during `feed`.  They must not raise: httptools would raise
+    HttpParserCallbackError instead, which counts as malformed input.  They therefore only store values.
     """
 
     def __init__(self, splits_lines: bool) -> None:
--- a/gateway/dispatcher.py
+++ b/gateway/dispatcher.py
@@ -37,7 +37,7 @@
 
 RESPONSE_MARGIN_NS = 25 * MS
 """Time subtracted from the client's timeout to get the balancer's, ns: the response takes time to arrive."""
-BALANCER_MARGIN_NS = 12 * MS
+FAILURE_MARGIN_NS = 12 * MS
 """Time before the client's deadline, ns, at which the gateway fails a request still open in the balancer."""
 
 BalancerFactory = Callable[[Settings, int, Actions], EventHandler]
@@ -88,7 +88,7 @@
         self.telemetry.count(CounterName.ADMITTED)
         # The margins take at most a fraction of a short timeout, so that time for an attempt remains.
         timeout_ns = max(remaining_ns - RESPONSE_MARGIN_NS, remaining_ns // 2)
-        failure_deadline_ns = now + max(remaining_ns - BALANCER_MARGIN_NS, remaining_ns * 3 // 4)
+        failure_deadline_ns = now + max(remaining_ns - FAILURE_MARGIN_NS, remaining_ns * 3 // 4)
         request = Request(
             self.requests.next_request_id(),
             exchange,
--- a/gateway/gateway.py
+++ b/gateway/gateway.py
@@ -96,7 +96,7 @@
         )
 
     async def start(self) -> Address:
-        """Open the listener, subscribe to discovery and return the listener's address."""
+        """Load the cached list, start discovery, the listener and gossip; return the listener's address."""
         configuration = self.configuration_reloader.configuration
         self.discovery.load_cached_list(configuration.cached_list)
         self.discovery.start()
--- a/gateway/gossip.py
+++ b/gateway/gossip.py
@@ -48,7 +48,11 @@
         log.info("gossip datagram could not be delivered: %s", exc)
 
     def send(self, peer: int | None, content: bytes) -> None:
-        """Send to one peer, or to all for None; log and drop a message too long or without a destination."""
+        """Send a message to one peer, or to all for None.
+
+        A message that is too long or has no destination is logged and dropped, as is one sent before the
+        socket is open.
+        """
         destination = self._destination(peer)
         if self._transport is None or destination is None or len(content) > MAX_MESSAGE_BYTES:
             log.error("gossip message to peer %s cannot be sent", peer)
--- a/gateway/request.py
+++ b/gateway/request.py
@@ -22,7 +22,10 @@
 
 
 class ClientExchange(Protocol):
-    """Interface to the client of one request: exactly one of the `send` methods is called, once."""
+    """Interface to the client of one request.
+
+    At most one of the `send` methods is called, at most once; none if the client disconnects first.
+    """
 
     @property
     def connection_number(self) -> int:
@@ -138,7 +141,7 @@
     def has_attempt_on_open_connection(self) -> bool:
         """Whether an attempt in flight has an established connection, so that its sending has begun."""
         return any(
-            attempt.connection is not None and attempt.connection.is_open()
+            attempt.connection is not None and attempt.connection.was_established()
             for attempt in self.in_flight.values()
         )
 
--- a/gateway/shutdown.py
+++ b/gateway/shutdown.py
@@ -36,8 +36,8 @@
     RUNNING = "running"
     """No shutdown is in progress."""
     ACCEPTING = "accepting"
-    """Readiness checks fail, idle connections that have sent only readiness checks or invalid requests are
-    closed, and new connections are accepted."""
+    """Readiness checks fail, idle connections that have received no valid request are closed (see
+    `ClientServer.begin_shutdown`), and new connections are accepted."""
     SERVING = "serving"
     """No new connections are accepted; requests on open connections are still admitted."""
     DRAINING = "draining"
@@ -71,7 +71,7 @@
 
 
 class GracefulShutdown:
-    """Ends a gateway once all requests are answered; their deadlines bound the time that this takes."""
+    """Ends a gateway once all client connections are closed, at the latest in the phase OVERDUE."""
 
     def __init__(
         self,
--- a/gateway/upstream/connection.py
+++ b/gateway/upstream/connection.py
@@ -93,8 +93,11 @@
         self._transport: asyncio.Transport | None = None
         self._response = ResponseParser()
 
-    def is_open(self) -> bool:
-        """Whether the connection was established; its first attempt is sent at that moment."""
+    def was_established(self) -> bool:
+        """Whether the connection was established, even if it has closed since.
+
+        Its first attempt is sent at that moment.
+        """
         return self._transport is not None
 
     def is_request_written(self) -> bool:
@@ -123,7 +126,7 @@
     # ---- Requests ----------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the attempt on the new connection, unless it has ended or expired in the meantime."""
+        """Send the attempt on the new connection, if it may still start and the endpoint is still usable."""
         self._transport = cast(asyncio.Transport, transport)  # not a subclass in uvloop
         # With a high-water mark of 0, resume_writing is called whenever a buffered write is complete.
         self._transport.set_write_buffer_limits(high=0)
--- a/gateway/upstream/endpoint.py
+++ b/gateway/upstream/endpoint.py
@@ -48,9 +48,9 @@
         return self.is_ready and connection.incarnation == self.incarnation
 
     def take_idle(self, now_ns: int) -> EndpointConnection | None:
-        """Remove and return the usable connection that became idle last, at least `REUSE_DELAY_NS` ago.
+        """Remove and return the usable connection that became idle last, but at least `REUSE_DELAY_NS` ago.
 
-        Unusable connections found before it are closed.
+        Return None if there is none.  Unusable connections found before it are closed.
         """
         index = bisect_right(
             self.idle, now_ns - REUSE_DELAY_NS, key=lambda connection: connection.idle_since_ns
--- a/gateway/upstream/response_parser.py
+++ b/gateway/upstream/response_parser.py
@@ -67,8 +67,9 @@
 class ResponseParser:
     """Incremental parser of the response to one request; `reset` prepares it for the next response.
 
-    httptools calls the `on_...` methods during `feed`.  They store errors in `error` instead of raising them,
-    because httptools does not pass their exceptions on.  A later error replaces an earlier one.
+    httptools calls the `on_...` methods during `feed`.  They must not raise: httptools would raise
+    HttpParserCallbackError instead, which counts as malformed input.  Errors are therefore stored in `error`,
+    where a later one replaces an earlier one.
     """
 
     __slots__ = (
--- a/gateway/upstream/upstream.py
+++ b/gateway/upstream/upstream.py
@@ -20,7 +20,8 @@
 
 DEFAULT_CONNECT_TIMEOUT_NS = 250 * MS
 IDLE_TIMEOUT_SHARE = 0.6
-"""Share of the endpoints' idle timeout after which idle connections are closed, well before they do so."""
+"""Share of the endpoints' idle timeout after which the gateway closes idle connections, well before the
+endpoints do."""
 DEFAULT_MAX_IDLE_NS = 10 * SECOND
 
 
@@ -125,7 +126,7 @@
             connection.end_attempt(Outcome.CONNECT_FAILED)
 
     def _expire_connect(self, connection: EndpointConnection) -> None:
-        if not connection.is_open():
+        if not connection.was_established():
             connection.end_attempt(Outcome.CONNECT_FAILED)
 
     def release(self, connection: EndpointConnection) -> None:
