--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -57,7 +57,7 @@
     gateway.receive_request(1)
     tenant = balancer.tenants.quotas[0]
     assert tenant is not None
-    assert tenant.credit == 2 * 40.0 / 4 + 4 - 1  # the share of one of now four gateways
+    assert tenant.credit == 2 * 40.0 / 4 + 4 - 1  # a quarter of the quota, as there are four gateways now
     assert balancer.endpoints.endpoints_per_gateway == 1.0
     assert not gateway.violations
 
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -24,7 +24,7 @@
     assert len(gateway.attempts) - before <= 2
 
 
-def test_many_gateways_that_start_together_send_about_two_requests_an_endpoint() -> None:
+def test_many_gateways_that_start_together_send_about_two_requests_per_endpoint() -> None:
     """An initial limit of one request per pool would let hundreds of gateways congest a small fleet."""
     settings = make_settings(replicas=200)
     attempts = 0
--- a/tests/balancer/test_delay_estimate.py
+++ b/tests/balancer/test_delay_estimate.py
@@ -1,4 +1,4 @@
-"""The smoothed delay of an endpoint or a pool, and its failures."""
+"""Failures in the delay estimate of an endpoint: how they count in its failure streak."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.settings_builders import make_entry, make_settings
 
 
-def test_attempts_that_fail_together_are_one_failure_of_the_streak() -> None:
+def test_concurrent_failures_count_once_in_the_failure_streak() -> None:
     """Failures of attempts that were in flight together count once.
 
     Otherwise an endpoint that hangs for 3 s with 19 attempts in flight would stay ejected for 8 s more, and
--- a/tests/balancer/test_discovery_polling.py
+++ b/tests/balancer/test_discovery_polling.py
@@ -15,7 +15,8 @@
 from tests.support.settings_builders import make_entry, make_settings
 
 NOTIFIED_AFTER_NS = 6 * SECOND
-"""Time after which a change in a reachable discovery counts as notified; the grace period then begins."""
+"""Time after which gateways count as notified of a change if discovery is reachable; the grace period then
+begins."""
 GRACE_NS = SECOND
 """Time after the notification for which a draining endpoint may still get attempts."""
 QUEUE_TIMEOUT_NS = 3 * SECOND
@@ -140,7 +141,7 @@
 @pytest.mark.parametrize(
     "outage",
     [UNREACHABLE, SILENT, ERROR_503],
-    ids=["refusing", "silent", "responding 503"],
+    ids=["unreachable", "silent", "error 503"],
 )
 @pytest.mark.parametrize(("gateways", "service_ms"), [(3, 200), (30, 100), (200, 24)])
 def test_failed_calls_are_repeated_in_time(
@@ -191,7 +192,10 @@
 
 
 def test_simultaneously_broken_watches_are_renewed_soon_and_spread() -> None:
-    """Calls after a broken watch must not be up to 7.5 s late: missed changes count as notified after 6 s."""
+    """Calls after a broken watch must not be up to 7.5 s late.
+
+    A gateway counts as notified of missed changes after 6 s.
+    """
     times: list[int] = []
     for number in range(200):
         gateway = make_gateway(number, 200, number)
--- a/tests/balancer/test_endpoint_selection.py
+++ b/tests/balancer/test_endpoint_selection.py
@@ -17,7 +17,8 @@
     gateway.balancer.endpoints.local_pool.limit = 8.0
     for _ in range(4):
         gateway.receive_request()
-    # In-flight attempts divided by weight pick `large`, then `small`, then there is a tie.
+    # The load is (attempts in flight + 1) / weight: `large` is picked twice; then both loads are 1, and each
+    # is picked once.
     assert gateway.attempts_by_endpoint() == {"large": 3, "small": 1}
     slow = GatewayModel(make_settings(), [make_entry("large", weight=2.0), *make_entries(3)])
     for _ in range(80):
--- a/tests/balancer/test_feedback.py
+++ b/tests/balancer/test_feedback.py
@@ -31,7 +31,7 @@
     """Twice the baseline latency must not count as queueing, lower the zone's limit and cause spillover."""
     gateway = GatewayModel(make_settings(), [make_entry("warm")])
     serve_sequentially(gateway, 60, 50 * MS)
-    # Its speed is at least a third of the full speed.
+    # By default an endpoint in slow start has at least a third of its full speed.
     gateway.update_endpoint_list(UpdateKind.SNAPSHOT, [make_entry("starting", started_ns=gateway.now_ns)])
     serve_all_in_flight(gateway, 20, 100 * MS)
     assert gateway.attempts_by_endpoint()["starting"] > 5
@@ -52,12 +52,12 @@
 
 
 def test_an_attempt_cancelled_early_does_not_count_as_a_failure() -> None:
-    """One attempt in eight takes over twice the mean latency; cancelled, it must not count as a timeout."""
+    """One response in eight takes over twice the mean latency; a cancellation by then is no failure."""
     gateway = GatewayModel(make_settings(), [make_entry("h")])
     for _ in range(50):
         serve_sequentially(gateway, 1, 25 * MS)
         serve_sequentially(gateway, 1, 75 * MS)
-    for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # three deviations are 125 ms
+    for elapsed_ns, counts_as_failure in ((100 * MS, False), (250 * MS, True)):  # mean + 3 deviations: 125 ms
         request_id = gateway.receive_request()
         gateway.run_for(elapsed_ns)
         gateway.close_client(request_id)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -77,7 +77,7 @@
     assert gateway.attempts_by_endpoint()["starting"] <= 2
 
 
-def test_endpoints_without_a_start_time_are_warm_soon_after_time_zero() -> None:
+def test_endpoints_that_started_long_ago_are_warm_soon_after_time_zero() -> None:
     """If all counted as in slow start near time zero, the next endpoint list would raise the limit."""
     gateway = GatewayModel(make_settings(), make_entries(4))
     before = gateway.balancer.endpoints.local_pool.limit
@@ -100,7 +100,7 @@
 
 
 def test_an_endpoint_in_slow_start_gets_attempts_by_its_reported_load() -> None:
-    """A worst-case estimate alone would leave even an idle endpoint a fraction of the budget."""
+    """A worst-case estimate alone would give even an idle endpoint only a fraction of the budget."""
     sent = []
     for reported_in_flight in (1.0, 3.0, 9.0):
         gateway = GatewayModel(make_settings(load_report_fields=("inflight",)), [make_entry("warm")])
--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -29,7 +29,7 @@
     return dict(zip(starts, converted, strict=True))
 
 
-def test_first_list_keeps_the_distances_between_starts() -> None:
+def test_first_list_keeps_the_intervals_between_starts() -> None:
     starts = publish(StartTimes(), NOW, old=NOW - HOUR, middle=NOW - 30 * SECOND, new=NOW - 4 * SECOND)
     assert starts == {"old": 1, "middle": NOW - 26 * SECOND, "new": NOW}
 
@@ -123,7 +123,7 @@
     assert ages() == usual
 
 
-def test_update_may_be_late_by_the_silence_of_discovery() -> None:
+def test_update_may_be_as_late_as_discovery_was_silent() -> None:
     times = StartTimes()
     publish(times, NOW, a=NOW - 100 * SECOND)
     times.mark_up_to_date(NOW)
--- a/tests/balancer/test_traffic_class.py
+++ b/tests/balancer/test_traffic_class.py
@@ -26,7 +26,7 @@
 
 
 def test_responses_that_waited_behind_others_hardly_raise_the_baseline_latency() -> None:
-    """If queueing in a fleet full from the start became the baseline, limits would grow until congestion."""
+    """If queueing under full load from the start became the baseline, limits would grow until congestion."""
     gateway = GatewayModel(make_settings(make_class(late_weight=0.0)), [make_entry("h")])
     for _ in range(40):
         gateway.balancer.endpoints.local_pool.limit = 9.0
--- a/tests/balancer/test_wait_queue.py
+++ b/tests/balancer/test_wait_queue.py
@@ -8,7 +8,7 @@
 
 
 def test_entries_of_ended_requests_do_not_accumulate_in_the_wait_queue() -> None:
-    """Ended requests must not stay in the heap while a request of higher priority is waiting."""
+    """Entries of ended requests must be removed even while no request is taken from the queue."""
     gateway = GatewayModel(make_settings())
     for _ in range(3000):
         gateway.receive_request(timeout_ns=20 * MS)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _kill_launched_gateways() -> Iterator[None]:
+def _kill_started_gateways() -> Iterator[None]:
     """Kill the gateway processes that a test started, even if the test failed."""
     yield
     kill_started_gateways()
--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -105,13 +105,13 @@
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
         await wait_until(lambda: harness.gateway.server.busy_connections == 2)
-        shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # a slow machine may have used up the timeout
+        shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # postpone the timeout on a slow machine
         assert (await (await harness.connect()).exchange(request(request_id="late")))[0] == 503
         for client in incomplete:
             assert (await client.exchange(b"\r\n"))[0] == 200
 
 
-async def test_responses_close_their_connections_when_half_the_slots_are_taken() -> None:
+async def test_responses_close_their_connections_when_more_than_half_the_slots_are_taken() -> None:
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         harness.gateway.server.max_connections = 4
--- a/tests/gateway/test_client_close.py
+++ b/tests/gateway/test_client_close.py
@@ -134,7 +134,7 @@
         assert (await client.read_response())[::2] == (200, b"done")
 
 
-class SendsOnTimer(StubBalancer):
+class SendOnTimerBalancer(StubBalancer):
     """Sends the first attempt when the request's timer expires, then one after each non-final outcome."""
 
     def handle_request(self, request_id: int) -> None:
@@ -178,7 +178,7 @@
     """The balancer sends an attempt on a timer or another event, which may be handled before the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.start(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendOnTimerBalancer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -198,7 +198,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
-        await harness.start(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendOnTimerBalancer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, count)
@@ -227,7 +227,9 @@
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(
-            endpoint, make_balancer=SendsOnTimer, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS}
+            endpoint,
+            make_balancer=SendOnTimerBalancer,
+            caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS},
         )
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
@@ -274,7 +276,7 @@
     monkeypatch.setattr("select.POLLRDHUP", rdhup)
 
     async with GatewayHarness() as harness:
-        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendOnTimerBalancer)
         timers = CapturedTimers(monkeypatch, harness.gateway.timers)
         dispatcher = harness.gateway.dispatcher
         client, request_ids = await send_requests(harness, MAX_PIPELINED)
@@ -298,7 +300,7 @@
 ) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.start(endpoint, make_balancer=SendsOnTimer)
+        await harness.start(endpoint, make_balancer=SendOnTimerBalancer)
         client, _ = await send_requests(harness, MAX_PIPELINED)
         client.sock.sendall(more)
         close_client(client)
@@ -312,7 +314,7 @@
 @each_unread_close
 async def test_a_sweep_notices_a_close_behind_discarded_bytes(close_client: CloseBlockingClient) -> None:
     async with GatewayHarness() as harness:
-        await harness.start(FakeEndpoint(), make_balancer=SendsOnTimer)
+        await harness.start(FakeEndpoint(), make_balancer=SendOnTimerBalancer)
         client = BlockingClient(harness.gateway_address)
         client.sock.sendall(request(Connection="close"))
         await wait_until(lambda: len(harness.gateway.dispatcher.open_requests()) == 1)
--- a/tests/gateway/test_client_framing.py
+++ b/tests/gateway/test_client_framing.py
@@ -71,8 +71,10 @@
         b"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n",
     ],
 )
-@pytest.mark.parametrize("in_bytes", [False, True])
-async def test_a_request_hidden_in_ambiguous_framing_is_not_forwarded(lines: bytes, in_bytes: bool) -> None:
+@pytest.mark.parametrize("byte_by_byte", [False, True])
+async def test_a_request_hidden_in_ambiguous_framing_is_not_forwarded(
+    lines: bytes, byte_by_byte: bool
+) -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
@@ -80,7 +82,7 @@
         data = head + lines + b"\r\n0\r\n\r\n" + HIDDEN_REQUEST
         client = await harness.connect()
         client.writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        for piece in [data[index : index + 1] for index in range(len(data))] if in_bytes else [data]:
+        for piece in [data[index : index + 1] for index in range(len(data))] if byte_by_byte else [data]:
             client.send(piece)
             await asyncio.sleep(0)
         assert (await client.read_response())[0] == 400
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -59,7 +59,7 @@
         assert (await client.exchange(invalid))[0] == 400
         client.send(invalid)
         waiting = asyncio.ensure_future(client.read_response())
-        for _ in range(3):  # one immediate error and one per sweep, at any request rate
+        for _ in range(3):  # one error at once, the next at the sweep, at any request rate
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(asyncio.shield(waiting), 0.02)
             harness.gateway.server.sweep(now_ns())
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -75,7 +75,7 @@
 
 
 async def test_the_last_ready_endpoint_does_not_get_the_capacity_of_all() -> None:
-    """Covers one endpoint of three that got the limit of all and was overloaded before its delay rose."""
+    """Otherwise one endpoint of four would get the limit of all and be overloaded before its delay rises."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
         await harness.start(*endpoints, make_balancer=harness.make_balancer)
@@ -85,8 +85,8 @@
         assert harness.in_flight() == 1
 
 
-async def test_endpoints_that_return_get_capacity_immediately() -> None:
-    """Covers a limit still scaled to fewer endpoints, which filled idle endpoints only over seconds."""
+async def test_added_endpoints_get_capacity_immediately() -> None:
+    """A limit still scaled to fewer endpoints would fill idle endpoints only over seconds."""
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
         await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
@@ -98,7 +98,7 @@
 
 
 async def test_attempts_at_a_draining_endpoint_use_no_capacity_of_others() -> None:
-    """Covers attempts at a draining or silent endpoint that left its successor idle until they ended."""
+    """Attempts at a draining endpoint must not leave its successor idle until they end."""
     old, new = FakeEndpoint("old", reply=None), FakeEndpoint("new", reply=None)
     async with CountingHarness() as harness:
         await harness.start(old, new, make_balancer=harness.make_balancer, entries=[])
@@ -113,7 +113,7 @@
 
 
 async def test_the_limit_grows_fast_while_requests_wait_and_endpoints_are_idle() -> None:
-    """Covers a starting gateway that queued 100 requests and rejected as many while endpoints were idle."""
+    """A starting gateway must not queue 100 requests and reject as many while endpoints are idle."""
     endpoint = FakeEndpoint(reply=None)
     async with CountingHarness() as harness:
         await harness.start(endpoint, make_balancer=harness.make_balancer)
@@ -125,7 +125,10 @@
 
 
 async def test_requests_above_a_quota_use_other_zones_that_are_idle() -> None:
-    """Covers rejections above a quota despite idle zones: half of all after one of two gateways left."""
+    """Otherwise requests above a quota would be rejected while other zones are idle.
+
+    With one of two gateways stopped, half of all requests would be rejected.
+    """
     endpoints = [FakeEndpoint(f"h{number}", reply=None) for number in range(4)]
     async with CountingHarness() as harness:
         quotas: dict[str, Any] = {
@@ -144,15 +147,18 @@
 
 
 async def test_few_gateways_poll_soon_after_a_start_with_cached_endpoints() -> None:
-    """Covers a gateway that used only 6 cached endpoints of 10 for 1.8 s after its start, to limit polls."""
+    """The first poll must not come late to limit the rate of polls.
+
+    Otherwise a gateway would use an incomplete cached list until then, such as 6 of 10 endpoints for 1.8 s.
+    """
     async with CountingHarness() as harness:
         await harness.start(FakeEndpoint(), rules={"ask-within-ns": 60_000_000_000})
-        # The delay is random within 0.5 s; within 15 s it would be 4.9 s.
+        # The delay is random and at most 0.5 s; spread over 15 s, it would be 4.9 s with this seed.
         await asyncio.wait_for(harness.discovery.calls.get(), 3.0)
 
 
 async def test_one_endpoint_that_rejects_does_not_take_the_capacity_of_the_others() -> None:
-    """Covers an overloaded endpoint that lowered the limit of the pool until idle ones got nothing."""
+    """An overloaded endpoint must not lower the limit of the pool until idle ones get nothing."""
     endpoints = [FakeEndpoint(f"h{number}") for number in range(4)]
     async with CountingHarness() as harness:
         await harness.start(*endpoints, make_balancer=harness.make_balancer, entries=[])
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -105,7 +105,7 @@
 
 
 def apply(table: TenantTable, rows: Sequence[msgspec.Raw]) -> list[tuple[int, Tenant]]:
-    """Apply rows to the table; returns the changes in the order in which they were applied."""
+    """Apply rows to the table; return the changes in the order in which they were applied."""
     changes: list[tuple[int, Tenant]] = []
     run_steps(table.apply(compare(table, rows), changes.extend))
     return changes
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -23,7 +23,10 @@
 
 
 async def test_pushed_backoff_stays_within_the_drain_grace_after_many_failures() -> None:
-    """A pushed change counts as notified at once, but after eight failures the backoff waited up to 7.5 s."""
+    """The gateway counts as notified of pushed changes at once.
+
+    The backoff must not wait up to 7.5 s after eight failures.
+    """
     harness = await DiscoveryHarness.start(is_pushed=True)
     server = harness.server
     for _ in range(8):
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -130,7 +130,7 @@
         assert balancers[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "NOT_SENT")]
 
 
-class ChecksHealth(StubBalancer):
+class HealthCheckingBalancer(StubBalancer):
     """Checks the endpoint's health for each request and gossips the result to itself.
 
     The arrival of that gossip makes it send the attempt.
@@ -163,7 +163,7 @@
             "load-report": {"source": "on_probe", "columns": ["outstanding"]},
         }
         overrides = {"peer_listen": gossip_address, "peers": [gossip_address], "settings": settings}
-        await harness.start(endpoint, make_balancer=ChecksHealth, configuration=overrides)
+        await harness.start(endpoint, make_balancer=HealthCheckingBalancer, configuration=overrides)
         assert (await (await harness.connect()).exchange(request()))[0] == 200
         assert (await endpoint.received.get()).first_line == "GET /stats HTTP/1.1"
         assert (await endpoint.received.get()).first_line == "GET /read/x?q=1 HTTP/1.1"
@@ -172,7 +172,7 @@
 async def test_no_health_check_where_the_settings_allow_none() -> None:
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
-        await harness.start(endpoint, make_balancer=ChecksHealth)
+        await harness.start(endpoint, make_balancer=HealthCheckingBalancer)
         assert (await (await harness.connect()).exchange(request(X_Timeout_Ms="200")))[0] == 502
         assert endpoint.connections == 0
 
@@ -208,7 +208,7 @@
     assert LoadReportParser(["outstanding"], ["inflight"]).parse(b'{"outstanding": %b}' % text.encode()) == ()
 
 
-class RecordsOutcomes(SingleAttemptBalancer):
+class OutcomeRecordingBalancer(SingleAttemptBalancer):
     """Sends one attempt per request, and queues the outcomes of attempts."""
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -219,13 +219,13 @@
         self.outcomes.put_nowait(result.outcome)
 
 
-async def test_an_attempt_whose_response_can_not_be_written_is_still_counted(
+async def test_an_attempt_whose_response_cannot_be_written_is_still_reported(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    balancers: list[RecordsOutcomes] = []
+    balancers: list[OutcomeRecordingBalancer] = []
 
     def make_balancer(settings: Settings, seed: int, actions: Actions) -> Any:
-        balancers.append(RecordsOutcomes(settings, seed, actions))
+        balancers.append(OutcomeRecordingBalancer(settings, seed, actions))
         return balancers[0]
 
     async with GatewayHarness() as harness:
--- a/tests/gateway/test_incidents.py
+++ b/tests/gateway/test_incidents.py
@@ -28,7 +28,7 @@
 
 ROUNDS = 12
 MAX_SLOWDOWN = 10
-"""Limit on the ratio of response times: behind an invalid request, and on a separate connection."""
+"""Maximum ratio of the median response time behind an invalid request to that on a separate connection."""
 UNKNOWN_PATH = b"GET /status HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 RESPONSE_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\ndone"
 
--- a/tests/gateway/test_readiness.py
+++ b/tests/gateway/test_readiness.py
@@ -16,8 +16,8 @@
 GATEWAYS = 30
 MOST_READY_WITHIN_NS, ALL_READY_WITHIN_NS = 10 * SECOND, 30 * SECOND
 """Times within which nine in ten gateways and all gateways must be ready, ns."""
-MOST_READY_IN_SHORT_RUN_NS = 6 * SECOND
-"""Limit for nine in ten gateways in a run that ends before `MOST_READY_WITHIN_NS`, ns."""
+MOST_READY_WITHOUT_FAILURES_NS = 6 * SECOND
+"""Time within which nine in ten gateways must be ready if no call to discovery fails, ns."""
 TIMER_SPEEDUP = 100
 """Factor by which the timers of these tests are shortened."""
 HEALTH_CHECK = b"GET /health/ready HTTP/1.1\r\n\r\n"
@@ -91,15 +91,15 @@
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
 @pytest.mark.parametrize(
     ("failing_calls", "max_ns"),
-    [(0, MOST_READY_IN_SHORT_RUN_NS), (1, MOST_READY_WITHIN_NS), (2, MOST_READY_WITHIN_NS)],
+    [(0, MOST_READY_WITHOUT_FAILURES_NS), (1, MOST_READY_WITHIN_NS), (2, MOST_READY_WITHIN_NS)],
 )
 async def test_with_an_empty_list_nine_in_ten_are_ready_in_time(
     failing_calls: int, max_ns: int, mode: str
 ) -> None:
-    """Adds up the delays before and between the calls to discovery; the first `failing_calls` of them fail.
+    """Add up the delays before and between the calls to discovery; the first `failing_calls` of them fail.
 
-    Otherwise nine in ten of the gateways that poll discovery would be ready too late: after 6.5, 14.8 and
-    23.8 s.
+    Without bounds on these delays, nine in ten of the gateways that poll discovery would be ready too late:
+    after 6.5, 14.8 and 23.8 s, with 0, 1 and 2 failing calls.
     """
 
     async def start(harness: GatewayHarness, endpoint: FakeEndpoint, number: int) -> int:
--- a/tests/gateway/test_system_calls.py
+++ b/tests/gateway/test_system_calls.py
@@ -1,7 +1,7 @@
-"""Transient failures of system calls in a real process, where a preloaded library fails every n-th call.
+"""Transient failures of system calls in a real process; a preloaded library makes every n-th call fail.
 
-Whichever call fails, each client gets a response on its own connection before its deadline, and the process
-continues to serve.
+Each request gets a response unless the failure breaks the client's own connection, and the process continues
+to serve.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 async def send_all(address: tuple[str, int]) -> list[int]:
-    """Send all requests, every second one on a new connection; returns the status of each response."""
+    """Send all requests, every second one on a new connection; return the status of each response."""
 
     async def run_client(client_number: int) -> list[int]:
         statuses = []
--- a/tests/gateway/test_telemetry.py
+++ b/tests/gateway/test_telemetry.py
@@ -76,7 +76,7 @@
 
 
 async def test_a_request_whose_client_left_in_time_is_not_traced(caplog: pytest.LogCaptureFixture) -> None:
-    """The balancer ended the previous request on this connection before its deadline."""
+    """Nor may the previous request on its connection, ended before its deadline, cause a trace of it."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint)
--- a/tests/support/failing_system_calls.c
+++ b/tests/support/failing_system_calls.c
@@ -1,9 +1,10 @@
 /* Injects faults into system calls of a program under test; loaded with LD_PRELOAD.
  *
  * FAULTS is a list of call:fault:period, separated by commas.  Every period-th call of accept,
- * socket, connect, epoll, read or write fails with the error `fault`; with SHORT, a read or
- * write transfers one byte only.  Faults depend on the number of calls, not on time or chance,
- * so that the same calls fail in each run.  Reads and writes count on TCP sockets only.
+ * socket, connect, epoll, read or write fails with the error `fault`; with SHORT, read, write
+ * and writev transfer only one byte (send is not shortened).  Faults depend on the number of
+ * calls, not on time or chance, so that the same calls fail in each run.  Only IPv4 sockets count
+ * for socket, read, write and writev; writev counts as write, and so does send on any socket.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -94,7 +94,7 @@
         self.requests: dict[int, RequestRecord] = {}
         """All requests so far, by their ids."""
         self.final_responses: dict[int, FinalResponse] = {}
-        """The final response to each request, in the order of the responses."""
+        """Final response by request id, in the order of the responses; streamed responses are not included."""
         self.violations: list[Violation] = []
         self._endpoints: dict[EndpointId, EndpointEntry] = {}
         self._unavailable_since_ns: dict[EndpointId, int] = {}
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -51,7 +51,7 @@
     Outcome.CANCELLED,
 ]
 TIMEOUTS_NS = [0, 1, 3 * MS, 80 * MS, *[SECOND] * 6]
-"""Timeouts that requests choose from; 1 s, the deadline of their class, is the most frequent."""
+"""Timeouts of requests; 1 s, the maximum of their class, is the most frequent."""
 MAX_STEP_NUMBER = 400
 """Largest value of the numbers in a step."""
 UNKNOWN_TOKEN = 10_000
--- a/tests/vocabulary_check.py
+++ b/tests/vocabulary_check.py
@@ -3,8 +3,9 @@
 The section "Retired words" in docs/GLOSSARY.md lists the words and their replacements.  The check searches
 the names that Python files define, comments, docstrings and some Markdown pages, and matches only complete
 words.  Other string literals are skipped, because they contain names of the wire format.  Text in backticks
-or double quotes is skipped as a quotation.  Words given as arguments limit the search to these words.  The
-exit code is 0 without findings, 1 with findings, and 2 for a word that the glossary does not list.
+or double quotes is skipped as a quotation.  Words given as arguments limit the search to these words.
+`--counts` prints the number of findings by word and by file instead of the findings.  The exit code is 0
+without findings, 1 with findings, and 2 for a word that the glossary does not list.
 """
 
 from __future__ import annotations
@@ -180,7 +181,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the findings and return the exit code."""
+    """Print the findings, or their counts with `--counts`; return the exit code."""
     retired = read_retired_words(GLOSSARY.read_text())
     words = [argument for argument in arguments if argument != "--counts"]
     if unknown := [word for word in words if word not in retired]:
