--- a/tests/balancer/test_outlier.py
+++ b/tests/balancer/test_outlier.py
@@ -58,7 +58,7 @@
 
 
 def test_endpoints_that_reject_every_attempt_get_few_attempts() -> None:
-    """A subset that rejects all attempts could not recover from overload if gateways kept sending to it."""
+    """A subset that rejects all attempts could not recover from overload if gateways continued to send."""
     gateway = GatewayModel(make_settings(), [make_entry("a"), make_entry("b")])
     for _ in range(400):  # 40 seconds
         gateway.receive_request()
--- a/tests/gateway/test_timers.py
+++ b/tests/gateway/test_timers.py
@@ -22,7 +22,7 @@
 
 
 async def test_data_received_in_an_event_loop_stall_is_read_before_timers_expire() -> None:
-    """Covers a gateway stopped for 150 ms that timed out attempts whose responses waited in its sockets."""
+    """A gateway stopped for 150 ms must not time out attempts whose responses wait in its sockets."""
     loop, order, expired = asyncio.get_running_loop(), list[str](), asyncio.Event()
     timers = Timers(loop)
     (stall_reader, stall_writer), (reader, writer) = socket.socketpair(), socket.socketpair()
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -94,7 +94,7 @@
         self.requests: dict[int, RequestRecord] = {}
         """All requests so far, by their ids."""
         self.final_responses: dict[int, FinalResponse] = {}
-        """Final response by request id, in the order of the responses; streamed responses are not included."""
+        """Final response by request id, in the order of the responses; without streamed responses."""
         self.violations: list[Violation] = []
         self._endpoints: dict[EndpointId, EndpointEntry] = {}
         self._unavailable_since_ns: dict[EndpointId, int] = {}
