--- a/tests/balancer/test_request_lifecycle.py
+++ b/tests/balancer/test_request_lifecycle.py
@@ -31,7 +31,7 @@
 def test_bad_request_fails_at_once_and_does_not_count_against_its_endpoint(
     idempotency: Idempotency,
 ) -> None:
-    """If retried and counted, a 400 from a second endpoint would follow, and both would be ejected for seconds."""
+    """If retried, a second endpoint would respond 400 too; if counted, both would be ejected for seconds."""
     gateway = GatewayModel(make_settings(make_class(idempotency)), make_entries(4))
     serve_sequentially(gateway, 40, 20 * MS)
     request_id = gateway.receive_request()
--- a/tests/gateway/test_client_admission.py
+++ b/tests/gateway/test_client_admission.py
@@ -105,7 +105,7 @@
         for number, client in enumerate(incomplete):
             client.send(request(request_id=f"h{number}")[:-2])
         await wait_until(lambda: harness.gateway.server.busy_connections == 2)
-        shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # postpone the timeout on a slow machine
+        shift_wait_start(harness, -SLOW_CLIENT_TIMEOUT_NS)  # so that a slow machine cannot use it up
         assert (await (await harness.connect()).exchange(request(request_id="late")))[0] == 503
         for client in incomplete:
             assert (await client.exchange(b"\r\n"))[0] == 200
--- a/tests/gateway/test_client_close.py
+++ b/tests/gateway/test_client_close.py
@@ -251,7 +251,7 @@
 async def test_a_connection_established_soon_after_the_close_is_not_used(
     close_client: CloseClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without this check three of four requests were still forwarded 0.17 s after the close."""
+    """Otherwise three of four requests would still be forwarded 0.17 s after the close."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint, caps={**SETTINGS["caps"], "dial-timeout-ns": 5_000 * MS})
--- a/tests/gateway/test_client_pipelining.py
+++ b/tests/gateway/test_client_pipelining.py
@@ -112,7 +112,7 @@
 
 
 async def test_an_upgrade_whose_error_waits_for_a_sweep_gets_its_response() -> None:
-    """When EOF was sent before the deferred error was written, every sweep of the gateway failed."""
+    """If EOF were sent before the deferred error is written, every sweep of the gateway would fail."""
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
         client = await harness.connect()
@@ -123,7 +123,7 @@
 
 
 async def test_an_upgrade_behind_an_open_request_gets_its_response_after_that() -> None:
-    """When EOF was sent while an earlier request was open, its response could not be written."""
+    """If EOF were sent while an earlier request is open, its response could not be written."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint(reply=None)
         await harness.start(endpoint, make_balancer=SingleAttemptBalancer)
--- a/tests/gateway/test_client_shutdown.py
+++ b/tests/gateway/test_client_shutdown.py
@@ -43,7 +43,7 @@
 
 
 async def test_a_sweep_that_fails_is_followed_by_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """When one exception ended all sweeps, no idle or slow connection was closed any more."""
+    """If one exception ended all sweeps, no idle or slow connection would be closed any more."""
     monkeypatch.setattr("gateway.gateway.SWEEP_INTERVAL_NS", MS)
     async with GatewayHarness() as harness:
         await harness.start(FakeEndpoint())
--- a/tests/gateway/test_client_validation.py
+++ b/tests/gateway/test_client_validation.py
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("before", [b"", b" ", b"\t  "])
 @pytest.mark.parametrize("after", [b"", b" ", b" \t"])
 async def test_white_space_around_a_header_value_is_ignored(before: bytes, after: bytes) -> None:
-    """HTTP allows white space there; a tenant name with a space after it was taken for another tenant."""
+    """HTTP allows white space there; a tenant name with a space after it must not mean another tenant."""
     async with GatewayHarness() as harness:
         endpoint = FakeEndpoint()
         await harness.start(endpoint)
