--- a/tests/balancer/test_start_times.py
+++ b/tests/balancer/test_start_times.py
@@ -44,6 +44,19 @@
     assert later == {**again, "c": NOW + 9 * SECOND}
 
 
+def test_a_delta_keeps_the_starts_of_the_other_listed_endpoints() -> None:
+    """Otherwise a later change of such an endpoint dates its start to now and puts it in slow start again."""
+    times = StartTimes()
+    count = 2 * MAX_UNLISTED_STARTS
+    fleet = {f"endpoint-{number}": NOW - count * MS + number * MS for number in range(count)}
+    converted = publish(times, NOW, **fleet)
+    times.mark_up_to_date(NOW)
+    publish(times, NOW + 60 * SECOND, added=NOW + 60 * SECOND)  # a delta of one entry
+    times.mark_up_to_date(NOW + 60 * SECOND)
+    changed = publish(times, NOW + 90 * SECOND, **{"endpoint-0": fleet["endpoint-0"]})
+    assert changed == {"endpoint-0": converted["endpoint-0"]}
+
+
 def test_late_updates_make_no_start_look_older() -> None:
     times = StartTimes()
     publish(times, NOW, a=NOW - HOUR)
